--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -1,7 +1,7 @@
-"""Endpoint selection: a random endpoint that looks idle, else the less loaded of two (power of two choices).
+"""Endpoint selection: an idle endpoint of a random sample, else the less loaded of two.
 
-A node sees only its own attempts. An endpoint looks idle while what it had from this node lately, and has in
-flight, weighs little against what it can do.
+The fallback is known as the power of two choices. A node sees only its own attempts, so an endpoint counts as
+idle while its recent attempts and attempts in flight from this node are few compared with its strength.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from load_balancer.policy.working_set import WorkingSet
 
-COMPARED_ENDPOINTS = 2  # the first eligible ones, where none looks idle; any further one is taken if idle
-SAMPLE_SIZE = 6  # endpoints looked at for an idle one
-# Load below which an endpoint counts as idle; 1 is an endpoint of usual speed without any. At mean strength
-# it allows nothing in flight and 2.3 times the endpoint's part of the recent attempts.
+COMPARED_ENDPOINTS = 2  # eligible endpoints compared by load if none is idle; later ones must be idle
+SAMPLE_SIZE = 6  # endpoints sampled in search of an idle one
+# Load below which an endpoint counts as idle; it is 1 for one of typical latency without attempts. At mean
+# strength the limit allows no attempt in flight, and 2.3 times an even share of the recent attempts.
 IDLE_LOAD = 2.15
-RECENT_WEIGHT = 0.5  # weight of its part of the recent attempts in the load
-IN_FLIGHT_WEIGHT = 4  # weight of an attempt in flight in the load
-MIN_STRENGTH = 1e-6  # of an endpoint with no weight: keeps the load defined
-SLOWNESS_GAIN = 0.4  # weight of a new answer in an endpoint's slowness
-NO_ATTEMPTS = 1e-9  # recent attempts before any were sent: keeps shares defined
+RECENT_WEIGHT = 0.5  # weight in the load of the endpoint's recent attempts, in multiples of an even share
+IN_FLIGHT_WEIGHT = 4  # weight in the load of an attempt in flight
+MIN_STRENGTH = 1e-6  # avoids division by zero for an endpoint with weight 0
+SLOWNESS_GAIN = 0.4  # weight of a new response in the moving average of an endpoint's slowness
+INITIAL_ATTEMPTS = 1e-9  # recent attempts at the start; avoids division by zero
 
 
 class EndpointSelector:
-    """Picks the endpoint of an attempt."""
+    """Selects the endpoint for each attempt."""
 
     def __init__(
         self,
@@ -54,27 +54,27 @@
         self._affinity = affinity
         self._slow_start = slow_start
         self._eligibility = eligibility
-        self._recent_attempts = NO_ATTEMPTS
+        self._recent_attempts = INITIAL_ATTEMPTS
 
     def attempt_sent(self, tracked: TrackedEndpoint) -> None:
-        """Count an attempt in the load of its endpoint."""
+        """Add an attempt to the load of its endpoint."""
         tracked.recent_attempts += 1
         self._recent_attempts += 1
 
     @staticmethod
-    def record_slowness(tracked: TrackedEndpoint, relative: float) -> None:
-        """Learn how slow an endpoint is from an answer time relative to the usual one."""
-        tracked.slowness += SLOWNESS_GAIN * (relative - tracked.slowness)
+    def record_slowness(tracked: TrackedEndpoint, relative_latency: float) -> None:
+        """Update the slowness of an endpoint with a latency, given as a multiple of the typical one."""
+        tracked.slowness += SLOWNESS_GAIN * (relative_latency - tracked.slowness)
 
     def halve_counts(self) -> None:
-        """Let older attempts and slowness weigh less."""
+        """Halve the attempt counts, and move each slowness halfway back to 1."""
         self._recent_attempts /= 2
         for tracked in self._registry:
             tracked.recent_attempts /= 2
             tracked.slowness = (1 + tracked.slowness) / 2
 
     def pick(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
-        """The endpoint for the next attempt of a request at ``now`` ms; None: no endpoint can take it."""
+        """Return the endpoint for the next attempt of a request at ``now`` ms; None: none is eligible."""
         return self._idle_in_own_zone(request, now) or self._idle_or_less_loaded(request, now)
 
     def _idle_in_own_zone(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
@@ -84,64 +84,68 @@
             warm = self._slow_start.capacity_share(tracked.endpoint, now) >= 1.0
             if not warm or not self._eligibility.allows(tracked, request, now):
                 continue
-            # Recent attempts don't count here: an endpoint in another zone costs more than a busier one.
+            # Ignores recent attempts: crossing zones costs more than using a busier endpoint.
             if self._load(tracked, request, now, recent_weight=0.0) < IDLE_LOAD:
                 return tracked
         return None
 
     def _idle_or_less_loaded(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
-        # In a subset a node knows enough of each endpoint to go on looking for an idle one.
+        # With a subset, a node sends enough to each endpoint to recognize an idle one, and searches longer.
         is_subset = self._working_set.subset.size != self._working_set.ready_count
         max_eligible = SAMPLE_SIZE if is_subset else COMPARED_ENDPOINTS
-        chosen, chosen_load, eligible = None, 0.0, 0
+        chosen, chosen_load, eligible_count = None, 0.0, 0
         for endpoint_id in self._candidates(request.arrival.key, now):
             tracked = self._registry.track(endpoint_id, now)
             if tracked is chosen or not self._eligibility.allows(tracked, request, now):
-                continue  # an endpoint is not compared with itself
+                continue  # the candidates can contain an endpoint twice
             load = self._load(tracked, request, now, RECENT_WEIGHT)
-            eligible += 1
+            eligible_count += 1
             if load < IDLE_LOAD:
                 return tracked
-            if chosen is None or (eligible == COMPARED_ENDPOINTS and load < chosen_load):
+            if chosen is None or (eligible_count == COMPARED_ENDPOINTS and load < chosen_load):
                 chosen, chosen_load = tracked, load
-            if eligible == max_eligible:
+            if eligible_count == max_eligible:
                 break
         return chosen
 
     def _load(
         self, tracked: TrackedEndpoint, request: PendingRequest, now: float, recent_weight: float
     ) -> float:
-        """Load of an endpoint by this node's attempts: 1 for one of usual speed without any."""
+        """Return the load that this node's attempts put on an endpoint.
+
+        An endpoint of typical latency without attempts has a load of 1.
+        """
         recent = recent_weight * (
             tracked.recent_attempts * self._working_set.subset.size / self._recent_attempts
         )
         in_flight = len(tracked.attempts) - tracked.lost_attempts(now)
         strength = max(self._capacity.strength(tracked.endpoint), MIN_STRENGTH)
-        own = (recent + IN_FLIGHT_WEIGHT * in_flight) / strength
+        attempt_load = (recent + IN_FLIGHT_WEIGHT * in_flight) / strength
         failures = tracked.failure_ratio(request.arrival.class_index)
-        return (1 + own * self._capacity.mean_strength) * tracked.slowness * (1 + failures)
+        return (1 + attempt_load * self._capacity.mean_strength) * tracked.slowness * (1 + failures)
 
     def _candidates(self, key: int, now: float) -> Iterator[int]:
-        """Ids of endpoints in the order to look at them."""
+        """Yield the ids of endpoints in the order in which to examine them."""
         subset = self._working_set.subset
         if key and self._uses_affinity and subset.candidates:
             yield from self._affinity.candidates(key)
         yield from self._sample(now)
-        # If none of the sample can be used: the subset from a random place on, then the others.
+        # If these don't suffice: all candidates, from a random endpoint of the subset on.
         start = subset.start + int(self._random.random() * subset.size)
         yield from subset.candidates[start:] + subset.candidates[:start]
 
     def _sample(self, now: float) -> list[int]:
-        """Some endpoints of the subset: those in this node's zone first, then likelier the stronger ones.
+        """Sample ids of the subset, with replacement.
 
-        Zones are in this order whatever it costs to cross them. Only where that has a cost is an idle
-        endpoint of another zone passed over (``_idle_in_own_zone``).
+        Endpoints in this node's zone come first, whether or not crossing zones has a cost; only a cost makes
+        ``_idle_in_own_zone`` search them for an idle one beforehand. Within each group, stronger endpoints
+        are more likely to come first.
         """
         ids, size = self._working_set.subset.ids, self._working_set.subset.size
-        drawn = [ids[int(self._random.random() * size)] for _ in range(SAMPLE_SIZE) if ids]
-        order: dict[int, tuple[bool, bool]] = {}
-        for endpoint_id in drawn:
+        sampled = [ids[int(self._random.random() * size)] for _ in range(SAMPLE_SIZE) if ids]
+        sort_keys: dict[int, tuple[bool, bool]] = {}
+        for endpoint_id in sampled:
             endpoint = self._registry.track(endpoint_id, now).endpoint
             weaker = self._random.random() > self._capacity.strength(endpoint)
-            order[endpoint_id] = (endpoint.zone != self._zone, weaker)
-        return sorted(drawn, key=order.__getitem__)
+            sort_keys[endpoint_id] = (endpoint.zone != self._zone, weaker)
+        return sorted(sampled, key=sort_keys.__getitem__)
