--- a/load_balancer/policy/eligibility.py
+++ b/load_balancer/policy/eligibility.py
@@ -1,7 +1,6 @@
-"""The rules that exclude an endpoint for an attempt, in one place.
+"""Eligibility: combines all rules that can exclude an endpoint from an attempt.
 
-The endpoints asked about are ready ones of the list (``endpoint_table``), those of the subset first
-(``subsetting``); ``selection`` looks at a few of them only.
+``selection`` checks a few ready endpoints for each attempt, those of the node's subset first.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 
 class Eligibility:
-    """Asks each part that can exclude an endpoint."""
+    """Checks an endpoint against each rule that can exclude it."""
 
     def __init__(
         self,
@@ -24,18 +23,18 @@
         slow_start: SlowStart,
         retries: RetryPolicy,
     ) -> None:
-        # Bound once: asked several times for each request.
+        # Bound methods are cached, since each request needs several checks.
         self._not_ejected = outliers.may_send
-        self._not_stale = staleness.may_use
+        self._allowed_while_stale = staleness.may_use
         self._warm_or_budgeted = slow_start.may_send
         self._repeat_allowed = retries.may_run_at
 
     def allows(self, tracked: TrackedEndpoint, request: PendingRequest, now: float) -> bool:
-        """Whether the next attempt of a request may go to an endpoint at ``now`` ms."""
+        """Return whether the next attempt of a request may go to an endpoint at ``now`` ms."""
         return (
             self._not_ejected(tracked, request.arrival.class_index, now)
             and not tracked.is_stalled(now)
-            and self._not_stale(tracked, now)
+            and self._allowed_while_stale(tracked, now)
             and self._warm_or_budgeted(tracked, now)
             and self._repeat_allowed(request, tracked.endpoint, now)
             and tracked.endpoint.id not in request.tried_endpoints
