--- a/load_balancer/policy/affinity.py
+++ b/load_balancer/policy/affinity.py
@@ -1,4 +1,7 @@
-"""Key affinity: requests of a key go to the endpoints that have it cached, by a consistent hash ring."""
+"""Key affinity: sends requests with the same key to the same endpoints, which have it cached.
+
+Keys are mapped to endpoints by a consistent hash ring.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,16 @@
 from load_balancer.policy.hashing import MASK_64, hash64
 from load_balancer.policy.working_set import WorkingSet
 
-POINTS_PER_ENDPOINT = 16  # on the ring, of the strongest endpoint; others have fewer
-REPLICAS_PER_SHARE = 2.0  # replicas of a key for each mean endpoint's part of the traffic that it has
-POINT_STRIDE = 1000003  # keeps the points of different endpoints apart before they are hashed
-REPLICA_STRIDE = 0x632BE59BD9B4E019  # keeps the replicas of a key apart before they are hashed
-MIN_COUNT = 0.5  # requests of a key, decayed, below which it is forgotten
-NO_TRAFFIC = 1e-9  # requests with a key before any arrived: keeps shares defined
+POINTS_PER_ENDPOINT = 16  # ring points (virtual nodes) for strength 1, besides one for each endpoint
+REPLICAS_PER_SHARE = 2.0  # replicas added to a key for each average endpoint's share of traffic that it gets
+POINT_STRIDE = 1000003  # keeps the hash inputs of different endpoints' points distinct
+REPLICA_STRIDE = 0x632BE59BD9B4E019  # keeps the hash inputs of a key's replicas distinct
+MIN_COUNT = 0.5  # decayed requests of a key at or below which it is forgotten
+INITIAL_REQUESTS = 1e-9  # requests with a key at the start; avoids division by zero
 
 
 class KeyAffinity:
-    """Places keys on the endpoints of the subset."""
+    """Maps keys to endpoints of the subset."""
 
     def __init__(
         self, rng: random.Random, registry: EndpointRegistry, working_set: WorkingSet, capacity: FleetCapacity
@@ -29,22 +32,22 @@
         self._registry = registry
         self._working_set = working_set
         self._capacity = capacity
-        self._ring: list[tuple[int, int]] = []  # hash and endpoint id, sorted
-        self._counts: dict[int, float] = {}  # recent requests by key
-        self._total = NO_TRAFFIC
+        self._ring: list[tuple[int, int]] = []  # (hash, endpoint id), sorted
+        self._counts: dict[int, float] = {}  # decayed requests by key
+        self._total_count = INITIAL_REQUESTS
 
     def record(self, key: int) -> None:
         """Count a request of a key."""
         self._counts[key] = self._counts.get(key, 0.0) + 1
-        self._total += 1
+        self._total_count += 1
 
     def halve_counts(self) -> None:
-        """Let older requests weigh less, and forget keys that are hardly used."""
-        self._total /= 2
+        """Halve the request counts, and forget keys with few recent requests."""
+        self._total_count /= 2
         self._counts = {key: count / 2 for key, count in self._counts.items() if count > MIN_COUNT}
 
     def rebuild(self, now: float) -> None:
-        """Place the endpoints of the subset on the ring anew."""
+        """Rebuild the ring from the endpoints of the subset at ``now`` ms."""
         ring = []
         for endpoint_id in self._working_set.subset.ids:
             strength = self._capacity.strength(self._registry.track(endpoint_id, now).endpoint)
@@ -53,14 +56,17 @@
         self._ring = sorted(ring)
 
     def candidates(self, key: int) -> Iterator[int]:
-        """Ids of two endpoints for a key, drawn from its replicas; a key with much traffic has more."""
-        share = self._counts.get(key, 0.0) / self._total
+        """Yield the ids of the endpoints of two of a key's replicas, the first of them chosen at random.
+
+        The more traffic a key has, the more replicas it has. Both ids can be the same.
+        """
+        share = self._counts.get(key, 0.0) / self._total_count
         replicas = 1 + int(share * self._working_set.subset.size * REPLICAS_PER_SHARE)
         first = int(self._random.random() * replicas)
         yield self.endpoint_for(key, first)
         yield self.endpoint_for(key, (first + 1) % max(replicas, 2))
 
     def endpoint_for(self, key: int, replica: int) -> int:
-        """Id of the endpoint that has a replica of a key: the next point on the ring."""
+        """Return the id of the endpoint that has a replica of a key: that of the next point on the ring."""
         position = bisect(self._ring, (hash64(key + replica * REPLICA_STRIDE & MASK_64), 0))
         return self._ring[position % len(self._ring)][1]
