--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -78,8 +78,8 @@
         return self._idle_in_own_zone(request, now) or self._idle_or_less_loaded(request, now)
 
     def _idle_in_own_zone(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
-        own_zone = self._working_set.own_zone
-        for endpoint_id in self._random.sample(own_zone, min(SAMPLE_SIZE, len(own_zone))):
+        own_zone_ids = self._working_set.own_zone_ids
+        for endpoint_id in self._random.sample(own_zone_ids, min(SAMPLE_SIZE, len(own_zone_ids))):
             tracked = self._registry.track(endpoint_id, now)
             warm = self._slow_start.capacity_share(tracked.endpoint, now) >= 1.0
             if not warm or not self._eligibility.allows(tracked, request, now):
