--- a/load_balancer/policy/subsetting.py
+++ b/load_balancer/policy/subsetting.py
@@ -1,9 +1,9 @@
-"""Subsetting: which of all endpoints a node works with.
+"""Endpoint subsetting: limits the endpoints that a node uses.
 
-A node works with all endpoints, unless it has few attempts in flight for each of them (``sparse``) or the
-fleet is large. Then groups of nodes share contiguous parts of the endpoints in the order of their hashes: of
-few endpoints a node knows what they hold, and an endpoint accepts only so many connections. Nodes of a group
-place keys alike.
+A node uses all endpoints, unless it has few attempts in flight for each of them (``sparse``) or the fleet is
+large. Then each group of nodes shares a subset that is contiguous in the order of the endpoints' hashes: a
+node can judge the load of a few endpoints better, and an endpoint accepts a limited number of connections.
+Nodes of a group map keys to the same endpoints.
 """
 
 from __future__ import annotations
@@ -13,27 +13,32 @@
 from load_balancer.policy.endpoint_table import EndpointTable
 from load_balancer.policy.settings import Settings
 
-MAX_RANKED = 1000  # ready endpoints up to which parts are cut by rank: even, but shifted by each change
-NODES_PER_PART, MIN_PART_ENDPOINTS = 6, 8  # nodes that share a part by rank; endpoints in it, at least
-# A larger fleet is cut into arcs of the hash space: only what comes or goes within an arc changes it. Arcs
-# differ in size by about one over its square root, so they have more endpoints and more nodes share them.
-ARC_NODES, MIN_ARC_ENDPOINTS, MAX_ARC_ENDPOINTS = 12, 48, 2000
-ARC_COUNTS_PER_DOUBLING = 4  # few numbers of arcs are used: the number must not change with each endpoint
+# Up to this many ready endpoints, subsets are ranges of ranks: equal in size, but shifted by each change.
+MAX_RANKED_ENDPOINTS = 1000
+MIN_NODES_PER_RANGE = 6
+MIN_RANGE_ENDPOINTS = 8
+# In a larger fleet, subsets are arcs of the hash space, which only change with the endpoints inside them. The
+# sizes of arcs with n endpoints on average vary by a fraction of about 1 / sqrt(n), so arcs are larger than
+# ranges, and more nodes share each of them.
+MIN_NODES_PER_ARC = 12
+MIN_ARC_ENDPOINTS = 48  # on average over all arcs
+MAX_ARC_ENDPOINTS = 2000  # on average over all arcs, before their count is rounded down
+ARC_COUNTS_PER_DOUBLING = 4  # permitted arc counts: few, so that the count rarely changes with the fleet size
 HASH_BITS = 64
 
 
 @dataclass(slots=True)
 class Subset:
-    """A node's part of the ready endpoints."""
+    """The ready endpoints that a node uses."""
 
     candidates: list[int]
-    """Ids of the endpoints that may be tried, in hash order: the subset and others behind it."""
+    """Ids of the endpoints that may be tried, in hash order: those of the subset and others."""
     start: int
     """Index of the subset's first endpoint in ``candidates``."""
     size: int
-    """Endpoints in the subset; 1 at least, also where there are none."""
+    """Number of endpoints in the subset; 1 if there are none."""
     ids: list[int] = field(init=False)
-    """Ids of the subset."""
+    """Ids of the endpoints in the subset."""
 
     def __post_init__(self) -> None:
         self.ids = self.candidates[self.start : self.start + self.size]
@@ -44,44 +49,47 @@
 
     Args:
         table: All endpoints.
-        settings: The node's number and the number of nodes.
-        sparse: Whether a node holds so few requests that groups of nodes share a part.
+        settings: The node's index and the number of nodes.
+        sparse: Whether a node has so few attempts in flight per endpoint that groups of nodes share subsets.
     """
-    if table.ready_count > MAX_RANKED:
+    if table.ready_count > MAX_RANKED_ENDPOINTS:
         return subset_by_arc(table, settings, sparse)
     return subset_by_rank(table, settings, sparse)
 
 
 def subset_by_rank(table: EndpointTable, settings: Settings, sparse: bool) -> Subset:
-    """A part of the ready endpoints by their rank in hash order; as for ``choose_subset``."""
+    """Choose a range of the ready endpoints' ranks in hash order; arguments as for ``choose_subset``."""
     node, nodes = settings.node_index, settings.node_count
     ready = table.ready_ids()
-    groups = max(1, min(nodes // NODES_PER_PART, len(ready) // MIN_PART_ENDPOINTS)) if sparse else 1
+    groups = max(1, min(nodes // MIN_NODES_PER_RANGE, len(ready) // MIN_RANGE_ENDPOINTS)) if sparse else 1
     group = node * groups // nodes
     start = group * len(ready) // groups
     return Subset(ready, start, max(1, (group + 1) * len(ready) // groups - start))
 
 
 def subset_by_arc(table: EndpointTable, settings: Settings, sparse: bool) -> Subset:
-    """The ready endpoints in an arc of the hash space; as for ``choose_subset``."""
+    """Choose the ready endpoints in an arc of the hash space; arguments as for ``choose_subset``."""
     node, nodes = settings.node_index, settings.node_count
-    most = min(nodes // ARC_NODES, table.ready_count // MIN_ARC_ENDPOINTS) if sparse else 1
-    fewest = -(-table.ready_count // MAX_ARC_ENDPOINTS)
-    arcs = round_down_arcs(max(1, most, fewest))
+    sparse_arcs = min(nodes // MIN_NODES_PER_ARC, table.ready_count // MIN_ARC_ENDPOINTS) if sparse else 1
+    min_arcs = -(-table.ready_count // MAX_ARC_ENDPOINTS)
+    arcs = round_down_arc_count(max(1, sparse_arcs, min_arcs))
     arc = node * arcs // nodes
-    own = _ready_in_arc(table, arc, arcs)
-    # Where no endpoint of the subset can be used, those of the next arc are tried instead of the whole fleet.
-    following = _ready_in_arc(table, (arc + 1) % arcs, arcs)
-    return Subset(own + following, 0, max(1, len(own)))
+    own_ids = _ready_in_arc(table, arc, arcs)
+    # If no endpoint of the subset is eligible, those of the next arc are tried instead of the whole fleet.
+    next_ids = _ready_in_arc(table, (arc + 1) % arcs, arcs)
+    return Subset(own_ids + next_ids, 0, max(1, len(own_ids)))
 
 
 def _ready_in_arc(table: EndpointTable, arc: int, arcs: int) -> list[int]:
     return table.ready_ids((arc << HASH_BITS) // arcs, ((arc + 1) << HASH_BITS) // arcs)
 
 
-def round_down_arcs(number: int) -> int:
-    """The largest permitted number of arcs up to ``number``; those are evenly spaced in their logarithm."""
-    exponent = (number.bit_length() - 1) * ARC_COUNTS_PER_DOUBLING
-    while 2 ** ((exponent + 1) / ARC_COUNTS_PER_DOUBLING) <= number:
+def round_down_arc_count(limit: int) -> int:
+    """Return the largest permitted arc count up to ``limit``.
+
+    Permitted counts are the integer parts of a geometric series.
+    """
+    exponent = (limit.bit_length() - 1) * ARC_COUNTS_PER_DOUBLING
+    while 2 ** ((exponent + 1) / ARC_COUNTS_PER_DOUBLING) <= limit:
         exponent += 1
     return int(2 ** (exponent / ARC_COUNTS_PER_DOUBLING))
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -10,7 +10,7 @@
 from benchmarks.fleet import policy_endpoint, policy_settings
 from load_balancer.policy.endpoint_table import EndpointTable
 from load_balancer.policy.endpoints import EndpointState
-from load_balancer.policy.subsetting import choose_subset, round_down_arcs
+from load_balancer.policy.subsetting import choose_subset, round_down_arc_count
 from tests.policy.driver import NOT_IDEMPOTENT, PolicyDriver, sent_to, settings
 
 
@@ -57,4 +57,4 @@
 
 @given(st.integers(1, 10**6))
 def test_the_number_of_arcs_is_one_of_few(number: int) -> None:
-    assert number / 1.2 - 1 < round_down_arcs(number) <= number
+    assert number / 1.2 - 1 < round_down_arc_count(number) <= number
