--- a/load_balancer/policy/endpoint_registry.py
+++ b/load_balancer/policy/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that a node knows: all list entries, and more of those that it works with."""
+"""The endpoints that a node knows: the whole endpoint list, and the state of the endpoints that it uses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 from load_balancer.policy.slow_start_budget import initial_budget
 from load_balancer.policy.tracked_endpoint import AttemptInFlight, ClassHealth, TrackedEndpoint
 
-MAX_TRACKED_OUTSIDE = 4000  # endpoints tracked beside the subset, before those not in use are dropped
+# Tracked endpoints outside the subset, above which those without attempts in flight are dropped.
+MAX_TRACKED_OUTSIDE_SUBSET = 4000
 
 
 class EndpointRegistry:
@@ -22,7 +23,7 @@
         self._settings = settings
         self.table = EndpointTable(settings)
         self._tracked: dict[int, TrackedEndpoint] = {}
-        self._busy: dict[int, TrackedEndpoint] = {}  # those with attempts in flight
+        self._busy: dict[int, TrackedEndpoint] = {}  # by id: those with attempts in flight
 
     def __iter__(self) -> Iterator[TrackedEndpoint]:
         return iter(self._tracked.values())
@@ -31,36 +32,41 @@
         return len(self._tracked)
 
     def get(self, endpoint_id: int) -> TrackedEndpoint | None:
-        """A tracked endpoint; None: it is not tracked."""
+        """Return a tracked endpoint, or None if it is not tracked."""
         return self._tracked.get(endpoint_id)
 
     def track(self, endpoint_id: int, now: float) -> TrackedEndpoint:
-        """An endpoint of the list, tracked from now on.
+        """Return an endpoint of the endpoint list, and start to track it if it is not tracked yet.
+
+        Args:
+            endpoint_id: Id of the endpoint.
+            now: Time on the policy's clock, ms.
 
         Raises:
-            KeyError: The list does not have it.
+            KeyError: The endpoint is not in the endpoint list.
         """
         tracked = self._tracked.get(endpoint_id)
         if tracked is None:
             entry = self.table.get(endpoint_id)
             if entry is None:
                 raise KeyError(endpoint_id)
-            tracked = self._tracked[endpoint_id] = self._new(entry, now)
+            tracked = self._tracked[endpoint_id] = self._create(entry, now)
         return tracked
 
-    def _new(self, entry: Endpoint, now: float) -> TrackedEndpoint:
+    def _create(self, entry: Endpoint, now: float) -> TrackedEndpoint:
         health = [ClassHealth() for _ in self._settings.classes]
         return TrackedEndpoint(entry, initial_budget(entry.id, self._settings.node_index, now), health)
 
     def apply(self, entry: Endpoint, now: float) -> None:
-        """Take over one entry of an endpoint update at ``now`` ms."""
+        """Apply one entry of an endpoint update at ``now`` ms."""
         self.table.put(entry)
         tracked = self._tracked.get(entry.id)
         if tracked is None:
             return
-        if tracked.endpoint.started_at != entry.started_at:  # restarted: what was learned is void
+        if tracked.endpoint.started_at != entry.started_at:
+            # The endpoint was restarted: keep the attempts in flight, discard all that was measured.
             attempts = tracked.attempts
-            tracked = self._tracked[entry.id] = self._new(entry, now)
+            tracked = self._tracked[entry.id] = self._create(entry, now)
             tracked.attempts = attempts
             if attempts:
                 self._busy[entry.id] = tracked
@@ -70,13 +76,26 @@
     def attempt_sent(
         self, request: PendingRequest, tracked: TrackedEndpoint, now: float, overdue_at: float
     ) -> None:
-        """Count the attempt that is sent to an endpoint, before ``request.attempts_sent`` counts it."""
+        """Add an attempt to those in flight at an endpoint.
+
+        Must be called before ``request.attempts_sent`` is increased, since that is the attempt's number.
+
+        Args:
+            request: The request.
+            tracked: The endpoint.
+            now: Time at which the attempt is sent, ms on the policy's clock.
+            overdue_at: Time from which the attempt is overdue, ms.
+        """
         key = (request.arrival.request_id, request.attempts_sent)
         tracked.attempts[key] = AttemptInFlight(request, now, overdue_at)
         self._busy[tracked.endpoint.id] = tracked
 
     def attempt_ended(self, tracked: TrackedEndpoint, event: AttemptEnded) -> AttemptInFlight | None:
-        """Take an attempt with its result out of those in flight; None: it was reported before."""
+        """Remove an attempt that has ended from those in flight.
+
+        Returns:
+            The attempt; None: its end was reported before.
+        """
         attempt = tracked.attempts.pop((event.request_id, event.attempt), None)
         if attempt is None:
             return None
@@ -90,17 +109,17 @@
         return attempt
 
     def _drop_if_removed(self, tracked: TrackedEndpoint) -> None:
-        # Ids are never used again: a removed endpoint is kept for the results of its attempts only.
+        # Ids are never reused, so a removed endpoint is only needed for the results of its attempts.
         if tracked.endpoint.state is EndpointState.REMOVED and not tracked.attempts:
             self._tracked.pop(tracked.endpoint.id, None)
 
     def lost_attempts(self, now: float) -> int:
-        """Attempts at all endpoints that are overdue while later ones were answered."""
+        """Return the number of lost attempts at all endpoints, as in ``TrackedEndpoint.lost_attempts``."""
         return sum(tracked.lost_attempts(now) for tracked in self._busy.values())
 
     def trim(self, subset: Collection[int]) -> None:
-        """Drop what is known of endpoints outside the subset that are not in use, where they are many."""
-        if len(self._tracked) <= len(subset) + MAX_TRACKED_OUTSIDE:
+        """Stop tracking unused endpoints outside the subset, if more than the limit are tracked."""
+        if len(self._tracked) <= len(subset) + MAX_TRACKED_OUTSIDE_SUBSET:
             return
-        keep = set(subset)
-        self._tracked = {i: t for i, t in self._tracked.items() if i in keep or t.attempts}
+        subset_ids = set(subset)
+        self._tracked = {i: t for i, t in self._tracked.items() if i in subset_ids or t.attempts}
