--- a/load_balancer/policy/tracked_endpoint.py
+++ b/load_balancer/policy/tracked_endpoint.py
@@ -1,6 +1,6 @@
-"""What a node knows of one endpoint: its list entry and what the node's own attempts have shown.
+"""What a node knows of one endpoint: its entry in the endpoint list and measurements of this node's attempts.
 
-Each field has one owner, the module that writes it; others only read it.
+Each field of a tracked endpoint is written only by the module that its docstring names.
 """
 
 from __future__ import annotations
@@ -12,34 +12,37 @@
 from load_balancer.policy.slow_start_budget import SlowStartBudget
 
 AttemptKey = tuple[int, int]
-"""Request id and attempt number."""
+"""The request id, and the number of the attempt among those of its request."""
 
 
 @dataclass(slots=True)
 class AttemptInFlight:
-    """An attempt without a result. Times in ms on the policy's clock."""
+    """An attempt that has no result yet. Times are in ms on the policy's clock."""
 
     request: PendingRequest
     sent_at: float
     overdue_at: float
-    """From then on it has taken far longer than usual."""
+    """Time from which the attempt has taken far longer than is typical."""
 
 
 @dataclass(slots=True)
 class ClassHealth:
-    """How an endpoint serves one request class; written by outliers."""
+    """Health of an endpoint for one request class; written by outliers."""
 
     failure_ratio: float = 0.0
-    """Recent share of failures, 0 to 1."""
+    """Moving average of failures, 0 to 1."""
     ejected_until: float = 0.0
-    """Time in ms. In the future: ejected; past: one attempt at a time until a success; 0: neither."""
+    """Time in ms until which the endpoint is ejected.
+
+    Afterwards it gets one attempt at a time until one succeeds. 0: neither applies.
+    """
     recent_ejections: int = 0
-    """Rises with each ejection; a success halves it."""
+    """Number of ejections; halved by each success."""
 
 
 @dataclass(slots=True)
 class TrackedEndpoint:
-    """An endpoint that the node works with, or has worked with lately."""
+    """An endpoint that the node uses or has used recently."""
 
     endpoint: Endpoint
     """Written by endpoint_registry."""
@@ -50,37 +53,46 @@
     attempts: dict[AttemptKey, AttemptInFlight] = field(default_factory=dict)
     """Attempts without a result; written by endpoint_registry."""
     last_answered_sent_at: float = 0.0
-    """When the latest attempt was sent that it answered, ms; written by endpoint_registry."""
+    """Time in ms at which the latest attempt was sent that got a success or an error as its response.
+
+    Written by endpoint_registry.
+    """
     last_rejected_sent_at: float = 0.0
-    """When the latest attempt was sent that it rejected, ms; written by endpoint_registry."""
+    """Time in ms at which the latest attempt was sent that was rejected; written by endpoint_registry."""
     unanswered_ratio: float = 0.0
-    """Recent share of attempts, over all classes, that ended without an answer; written by outliers."""
+    """Moving average over all classes of attempts without a response, 0 to 1; written by outliers."""
     recent_attempts: float = 0.0
-    """This node's attempts, decayed; written by selection."""
+    """Decayed count of this node's attempts; written by selection."""
     slowness: float = 1.0
-    """Its answer times over those usual for their class and its machine type; written by selection."""
+    """Moving average of latencies, as multiples of the typical one; written by selection.
+
+    The typical latency is that of the request class and the machine type.
+    """
 
     def failure_ratio(self, class_index: int) -> float:
-        """Recent share of failures for a class, 0 to 1."""
+        """Return the recent failure ratio for a class, 0 to 1.
+
+        Attempts without a response count for every class.
+        """
         return max(self.class_health[class_index].failure_ratio, self.unanswered_ratio)
 
     def lost_attempts(self, now: float) -> int:
-        """Number of attempts that are overdue while later ones were answered.
+        """Return the number of overdue attempts that were sent before one that has been answered.
 
-        They are lost, or heavier than most, and count as no load on the endpoint.
+        They are lost or need far more work than most, and don't count as load on the endpoint.
         """
         if not self.attempts:
-            return 0  # on the path of every request
+            return 0  # fast path: runs for every request
         answered = self.last_answered_sent_at
         return sum(a.sent_at < answered and a.overdue_at < now for a in self.attempts.values())
 
     def answered_later_than(self, attempt: AttemptInFlight) -> bool:
-        """Whether an attempt sent after this one was answered."""
+        """Return whether an attempt that was sent after this one has been answered."""
         return attempt.sent_at < self.last_answered_sent_at
 
     def is_stalled(self, now: float) -> bool:
-        """Whether an attempt is overdue and none sent after it was answered: it hangs or pauses."""
+        """Return whether the endpoint hangs or pauses: one attempt is overdue, no later one was answered."""
         if not self.attempts:
-            return False  # on the path of every request
+            return False  # fast path: runs for every request
         answered = self.last_answered_sent_at
         return any(a.overdue_at < now and a.sent_at >= answered for a in self.attempts.values())
