--- a/load_balancer/policy/endpoint_table.py
+++ b/load_balancer/policy/endpoint_table.py
@@ -1,6 +1,6 @@
-"""All endpoints of the list, and sums over those that are ready.
+"""The endpoint list, and aggregates over its ready endpoints.
 
-What a change of the list costs does not grow with the fleet: sums and maxima are kept up by difference.
+Aggregates are updated incrementally, so that the cost of a change does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -14,125 +14,134 @@
 from load_balancer.policy.packed_table import PackedTable
 from load_balancer.policy.settings import Settings
 
-ROW_FORMAT = "<QqqqBdd"  # id, zone, machine type, cell, state, weight, time of start: 49 bytes
-START_BIN = 100.0  # ms; endpoints that started within the same are one in the sum of their missing capacity
-WEIGHT_DIGITS = 3  # significant digits of a weight in the search for the largest
+ROW_FORMAT = "<QqqqBdd"  # id, zone, machine type, cell, state, weight, start time: 49 bytes
+START_BIN_WIDTH = 100.0  # ms; endpoints that start within a bin are counted with its mean start time
+WEIGHT_DIGITS = 3  # significant digits to which weights are rounded to find the largest
 
 
 @dataclass(slots=True)
 class _StartBin:
-    """Endpoints that started within the same START_BIN ms."""
+    """Number and start times of the endpoints that started within the same START_BIN_WIDTH ms."""
 
     count: int = 0
     sum_of_starts: float = 0.0  # ms
 
 
 class EndpointTable:
-    """All endpoints by the hash of their ids, so that all nodes agree on their order."""
+    """Stores all endpoints, ordered by the hash of their ids, so that the order is the same on all nodes."""
 
     def __init__(self, settings: Settings) -> None:
         self._slow_start_duration = settings.slow_start_duration
         self._slow_start_initial = settings.slow_start_initial
         self._rows = PackedTable(ROW_FORMAT)
         self.ready_count = 0
-        """Number of ready endpoints; written here only."""
-        # Of the ready endpoints, by machine type:
+        """Number of ready endpoints; written only by this class."""
+        # Aggregates over the ready endpoints; those of weights are by machine type.
         self._weight_sums: dict[int, float] = {}
         self._weight_counts: dict[int, Counter[float]] = {}
         self._largest_weight: dict[int, float] = {}
-        self._start_bins: dict[int, _StartBin] = {}
+        self._start_bins: dict[int, _StartBin] = {}  # by start time // START_BIN_WIDTH
 
     def get(self, endpoint_id: int) -> Endpoint | None:
-        """The entry of an endpoint; None: the list does not have it."""
+        """Return the entry of an endpoint, or None if it is not in the endpoint list."""
         row = self._rows.get(hash64(endpoint_id))
         if row is None:
             return None
-        number, zone, machine_type, cell, state, weight, started_at = row
-        return Endpoint(number, zone, machine_type, cell, EndpointState(state), weight, started_at)
+        stored_id, zone, machine_type, cell, state, weight, started_at = row
+        return Endpoint(stored_id, zone, machine_type, cell, EndpointState(state), weight, started_at)
 
     def put(self, entry: Endpoint) -> Endpoint | None:
-        """Take over an entry, which removes the endpoint if its state says so; returns the old entry."""
+        """Insert or replace an entry, or remove it if its state is REMOVED; returns the old entry, if any."""
         old = self.get(entry.id)
         if old is not None and old.state is EndpointState.READY:
-            self._count(old, -1)
+            self._update_aggregates(old, -1)
         if entry.state is EndpointState.REMOVED:
             self._rows.pop(hash64(entry.id))
             return old
         values = entry.zone, entry.machine_type, entry.cell, entry.state, entry.weight, entry.started_at
         self._rows.put(hash64(entry.id), entry.id, *values)
         if entry.state is EndpointState.READY:
-            self._count(entry, 1)
+            self._update_aggregates(entry, 1)
         return old
 
     def ids(self) -> list[int]:
-        """Ids of all endpoints, in the order of their hashes."""
+        """Return the ids of all endpoints, in hash order."""
         return [row[0] for _, row in self._rows.items()]
 
     def ready_ids(self, low: int = 0, high: int = 1 << 64) -> list[int]:
-        """Ids of the ready endpoints with hashes from ``low`` to below ``high``, in hash order."""
+        """Return the ids of the ready endpoints with hashes from ``low`` to below ``high``, in hash order."""
         return [
             endpoint_id
             for _, (endpoint_id, _, _, _, state, _, _) in self._rows.items(low, high)
             if state == EndpointState.READY
         ]
 
-    def _count(self, entry: Endpoint, change: int) -> None:
-        """Add a ready endpoint to the sums (1) or take it out of them (-1)."""
-        self.ready_count += change
-        self._count_weight(entry, change)
+    def _update_aggregates(self, entry: Endpoint, sign: int) -> None:
+        """Add a ready endpoint to the aggregates (``sign`` 1) or remove it from them (-1)."""
+        self.ready_count += sign
+        self._update_weights(entry, sign)
         if not self.ready_count:
-            self._weight_sums.clear()  # with what rounding has left in them
+            self._weight_sums.clear()  # drops rounding errors
         if entry.started_at:
-            self._count_start(entry.started_at, change)
+            self._update_start_bin(entry.started_at, sign)
 
-    def _count_weight(self, entry: Endpoint, change: int) -> None:
+    def _update_weights(self, entry: Endpoint, sign: int) -> None:
         machine_type, rounded = entry.machine_type, float(f"{entry.weight:.{WEIGHT_DIGITS}g}")
-        self._weight_sums[machine_type] = self._weight_sums.get(machine_type, 0.0) + change * entry.weight
+        self._weight_sums[machine_type] = self._weight_sums.get(machine_type, 0.0) + sign * entry.weight
         counts = self._weight_counts.setdefault(machine_type, Counter())
-        counts[rounded] += change
-        if change > 0:
+        counts[rounded] += sign
+        if sign > 0:
             self._largest_weight[machine_type] = max(self._largest_weight.get(machine_type, 0.0), rounded)
         elif not counts[rounded]:
             del counts[rounded]
             self._largest_weight[machine_type] = max(counts, default=0.0)
 
-    def _count_start(self, started_at: float, change: int) -> None:
-        number = int(started_at // START_BIN)
-        start_bin = self._start_bins.get(number)
+    def _update_start_bin(self, started_at: float, sign: int) -> None:
+        bin_number = int(started_at // START_BIN_WIDTH)
+        start_bin = self._start_bins.get(bin_number)
         if start_bin is None:
             start_bin = _StartBin()
-        if change > 0 or start_bin.count:  # bins of those that have warmed up were dropped
-            start_bin.count += change
-            start_bin.sum_of_starts += change * started_at
-            self._start_bins[number] = start_bin
+        if sign > 0 or start_bin.count:  # the bin of an endpoint that has warmed up may be dropped already
+            start_bin.count += sign
+            start_bin.sum_of_starts += sign * started_at
+            self._start_bins[bin_number] = start_bin
 
     def warm_endpoints(self, now: float) -> float:
-        """Number of ready endpoints at ``now`` ms, one that warms up counted by its capacity; at least 1.
+        """Return the number of ready endpoints at ``now`` ms, at least 1.
 
-        Drops the bins of those that have warmed up.
+        An endpoint in slow start counts as its present share of full capacity. Drops the bins of endpoints
+        that have warmed up.
         """
         duration, initial = self._slow_start_duration, self._slow_start_initial
-        missing = 0.0
-        for number, start_bin in list(self._start_bins.items()):
-            if not start_bin.count or (number + 1) * START_BIN + duration <= now:
-                del self._start_bins[number]
+        missing_capacity = 0.0
+        for bin_number, start_bin in list(self._start_bins.items()):
+            if not start_bin.count or (bin_number + 1) * START_BIN_WIDTH + duration <= now:
+                del self._start_bins[bin_number]
                 continue
             mean_start = start_bin.sum_of_starts / start_bin.count
-            share = max(0.0, now - mean_start) / duration if duration else 1.0
-            missing += start_bin.count * (1.0 - initial) * max(0.0, 1.0 - share)
-        return max(self.ready_count - missing, 1.0)
+            warm_share = max(0.0, now - mean_start) / duration if duration else 1.0
+            missing_capacity += start_bin.count * (1.0 - initial) * max(0.0, 1.0 - warm_share)
+        return max(self.ready_count - missing_capacity, 1.0)
 
     def strongest(self, factors: Mapping[int, float]) -> float:
-        """The largest weight, each divided by the answer time factor of its machine type; 0: no endpoints."""
+        """Return the largest weight divided by the latency factor of its machine type; 0: no endpoints.
+
+        Args:
+            factors: Latency factors by machine type; 1 where there is none.
+        """
         weights = self._largest_weight.items()
         return max((weight / factors.get(machine_type, 1.0) for machine_type, weight in weights), default=0.0)
 
     def mean_weight(self) -> float:
-        """Mean weight of the ready endpoints; 0: there are none."""
+        """Return the mean weight of the ready endpoints; 0: there are none."""
         return sum(self._weight_sums.values()) / max(1, self.ready_count)
 
     def mean_strength(self, factors: Mapping[int, float]) -> float:
-        """Mean weight, each divided by the answer time factor of its machine type."""
+        """Return the mean weight, each weight divided by the latency factor of its machine type.
+
+        Args:
+            factors: Latency factors by machine type; 1 where there is none.
+        """
         sums = self._weight_sums.items()
         total = sum(weight / factors.get(machine_type, 1.0) for machine_type, weight in sums)
         return total / max(1, self.ready_count)
