--- a/load_balancer/policy/packed_table.py
+++ b/load_balancer/policy/packed_table.py
@@ -1,8 +1,8 @@
-"""Many records of one form, held compactly: packed rows under 64-bit keys, sorted by key.
+"""A memory-efficient sorted map from 64-bit keys to rows of one format.
 
-A Python object with its fields takes some hundreds of bytes; a row takes its packed size and 8 bytes for the
-key. Rows lie in buckets by the top bits of their keys, so that an insertion moves few others: the keys have
-to be spread evenly, as hashes are.
+A Python object with its fields takes hundreds of bytes; a row takes its packed size and 8 bytes for the key.
+Rows are stored in buckets by the top bits of their keys, so that an insertion moves only the rows of one
+bucket. Keys must be evenly distributed, as hashes are, for buckets of similar size.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from typing import Any
 
 KEY_BITS = 64
-BUCKET_ROWS = 512  # rows in a bucket on average, at most
+MAX_MEAN_BUCKET_ROWS = 512  # rows per bucket, on average over all buckets
 
 
 class PackedTable:
     """A sorted map from keys below 2**64 to rows.
 
     Args:
-        form: Format of a row, as of the struct module.
+        row_format: Format of a row, as for the struct module.
     """
 
-    def __init__(self, form: str) -> None:
-        self._form = Struct(form)
-        self._bucket_bits = 0  # there are 2 ** bits buckets
+    def __init__(self, row_format: str) -> None:
+        self._struct = Struct(row_format)
+        self._bucket_bits = 0  # the number of buckets is 2 ** _bucket_bits
         self._keys: list[array[int]] = [array("Q")]
         self._rows: list[bytearray] = [bytearray()]
         self._count = 0
@@ -38,61 +38,64 @@
         return self._find(key)[2]
 
     def _find(self, key: int) -> tuple[int, int, bool]:
-        """The bucket, the place in it, and whether the key is there."""
+        """Return the bucket of a key, the key's position in it, and whether the key is present."""
         bucket = key >> (KEY_BITS - self._bucket_bits)
         keys = self._keys[bucket]
-        place = bisect_left(keys, key)
-        return bucket, place, place < len(keys) and keys[place] == key
+        position = bisect_left(keys, key)
+        return bucket, position, position < len(keys) and keys[position] == key
 
     def get(self, key: int) -> tuple[Any, ...] | None:
-        """The row of a key; None: there is none."""
-        bucket, place, found = self._find(key)
-        return self._form.unpack_from(self._rows[bucket], place * self._form.size) if found else None
+        """Return the row of a key, or None if there is none."""
+        bucket, position, found = self._find(key)
+        return self._struct.unpack_from(self._rows[bucket], position * self._struct.size) if found else None
 
     def put(self, key: int, *row: Any) -> None:
-        """Insert a row or replace the one under its key.
+        """Insert a row, or replace the row of its key.
 
         Raises:
-            struct.error: A value does not fit the form.
+            struct.error: The values don't match the row format.
         """
-        packed = self._form.pack(*row)
-        bucket, place, found = self._find(key)
-        offset, size = place * self._form.size, self._form.size
+        packed = self._struct.pack(*row)
+        bucket, position, found = self._find(key)
+        offset, size = position * self._struct.size, self._struct.size
         if found:
             self._rows[bucket][offset : offset + size] = packed
             return
-        self._keys[bucket].insert(place, key)
+        self._keys[bucket].insert(position, key)
         self._rows[bucket][offset:offset] = packed
         self._count += 1
-        if self._count > BUCKET_ROWS << self._bucket_bits:
+        if self._count > MAX_MEAN_BUCKET_ROWS << self._bucket_bits:
             self._split_buckets()
 
     def pop(self, key: int) -> None:
         """Remove the row of a key, if there is one."""
-        bucket, place, found = self._find(key)
+        bucket, position, found = self._find(key)
         if found:
-            offset = place * self._form.size
-            del self._keys[bucket][place]
-            del self._rows[bucket][offset : offset + self._form.size]
+            offset = position * self._struct.size
+            del self._keys[bucket][position]
+            del self._rows[bucket][offset : offset + self._struct.size]
             self._count -= 1
 
     def _split_buckets(self) -> None:
-        """Cut each bucket in two by the next bit of the keys, without decoding a row."""
+        """Split each bucket in two by the next bit of the keys, without decoding rows."""
         self._bucket_bits += 1
         old_keys, old_rows = self._keys, self._rows
         self._keys, self._rows = [], []
-        for number, (keys, rows) in enumerate(zip(old_keys, old_rows, strict=True)):
-            cut = bisect_left(keys, (2 * number + 1) << (KEY_BITS - self._bucket_bits))
-            self._keys += [keys[:cut], keys[cut:]]
-            self._rows += [rows[: cut * self._form.size], rows[cut * self._form.size :]]
+        for bucket, (keys, rows) in enumerate(zip(old_keys, old_rows, strict=True)):
+            split = bisect_left(keys, (2 * bucket + 1) << (KEY_BITS - self._bucket_bits))
+            self._keys += [keys[:split], keys[split:]]
+            self._rows += [rows[: split * self._struct.size], rows[split * self._struct.size :]]
 
     def items(self, low: int = 0, high: int = 1 << KEY_BITS) -> Iterator[tuple[int, tuple[Any, ...]]]:
-        """Keys from ``low`` to below ``high``, in order, with their rows. The table must not change."""
+        """Yield keys from ``low`` to below ``high`` in order, with their rows.
+
+        The table must not change during the iteration.
+        """
         if low >= high:
             return
         shift = KEY_BITS - self._bucket_bits
         for bucket in range(low >> shift, ((high - 1) >> shift) + 1):
-            keys, rows, size = self._keys[bucket], self._rows[bucket], self._form.size
+            keys, rows, size = self._keys[bucket], self._rows[bucket], self._struct.size
             end = bisect_left(keys, high) if high < 1 << KEY_BITS else len(keys)
-            for place in range(bisect_left(keys, low), end):
-                yield keys[place], self._form.unpack_from(rows, place * size)
+            for position in range(bisect_left(keys, low), end):
+                yield keys[position], self._struct.unpack_from(rows, position * size)
--- a/tests/policy/test_packed_table.py
+++ b/tests/policy/test_packed_table.py
@@ -12,8 +12,8 @@
 @settings(deadline=None, max_examples=150)
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 2**64 - 1), st.integers(0, 9)), max_size=80))
 def test_the_table_is_a_sorted_map_however_often_it_is_split(steps: list[tuple[bool, int, int]]) -> None:
-    kept, least = {}, rows.BUCKET_ROWS
-    rows.BUCKET_ROWS = 2
+    kept, least = {}, rows.MAX_MEAN_BUCKET_ROWS
+    rows.MAX_MEAN_BUCKET_ROWS = 2
     try:
         packed = PackedTable("<q")
         for put, key, value in steps:
@@ -30,4 +30,4 @@
         inside = [(key, row) for key, row in sorted(kept.items()) if low <= key < high]
         assert list(packed.items(low, high)) == inside
     finally:
-        rows.BUCKET_ROWS = least
+        rows.MAX_MEAN_BUCKET_ROWS = least
