--- a/load_balancer/policy/slow_start_budget.py
+++ b/load_balancer/policy/slow_start_budget.py
@@ -1,4 +1,4 @@
-"""The budget of attempts that a node may send to an endpoint that warms up."""
+"""The budget of attempts that a node may send to an endpoint in slow start."""
 
 from __future__ import annotations
 
@@ -6,21 +6,25 @@
 
 from load_balancer.policy.hashing import hash64
 
-GOLDEN_RATIO = 0.6180339887498949  # its multiples, less their integer part, never come close to each other
+GOLDEN_RATIO = 0.6180339887498949  # the fractional parts of its multiples are evenly spread over 0 to 1
 
 
 @dataclass(slots=True)
 class SlowStartBudget:
-    """Attempts earned and used; written by ``slow_start`` only."""
+    """Attempts earned and used by a node at one endpoint; written only by ``slow_start``."""
 
     earned: float
-    """Attempts earned so far, the next one in part."""
+    """Attempts earned so far, including a fraction of the next one."""
     earned_at: float
-    """Time in ms up to which they were counted."""
+    """Time in ms up to which earned attempts have been added."""
     used: int = 0
+    """Whole attempts earned when the latest one was sent; only those earned since can be used."""
 
 
 def initial_budget(endpoint_id: int, node_index: int, now: float) -> SlowStartBudget:
-    """A budget whose phase is spread evenly over the nodes, so that few earn an attempt at the same time."""
+    """Return a budget as of ``now`` ms, with a fraction of the first attempt already earned.
+
+    The fractions are spread evenly over the nodes, so that few nodes earn an attempt at the same time.
+    """
     phase = (node_index * GOLDEN_RATIO + hash64(endpoint_id) / 2**64) % 1.0
     return SlowStartBudget(earned=phase, earned_at=now)
