--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: an endpoint that has just started gets no more than it can serve, from all nodes together.
+"""Slow start: limits the attempts of all nodes together at an endpoint that has just started.
 
-Each node earns attempts at such an endpoint at its part of the rate that a warm endpoint answers. An attempt
-that is earned and not used lapses: all that many nodes had saved up could come at once.
+Each node earns attempts at such an endpoint, at its share of the response rate of a warm endpoint multiplied
+by the endpoint's present capacity. An unused attempt expires: otherwise many nodes could save attempts up and
+send them all at once.
 """
 
 from __future__ import annotations
@@ -16,14 +17,15 @@
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from load_balancer.policy.working_set import WorkingSet
 
-CAPACITY_USE = 0.8  # share of its capacity that is sent: work that needs a cache costs more on a new endpoint
-OVERLOAD_FACTOR_USE = 0.5  # share of the overload factor that all nodes together may use
-NO_ATTEMPTS = 1e-9  # attempts in a window, where none are earned: keeps the ratio defined
-MIN_BUDGET_LIFETIME = 0.25  # of the overload window, for which an earned attempt can be used
+# Share of the capacity to use: requests cost more on an endpoint whose cache is still cold.
+CAPACITY_SHARE_USED = 0.8
+OVERLOAD_FACTOR_SHARE_USED = 0.5  # share of the overload factor that all nodes together may use
+MIN_EXPECTED_ATTEMPTS = 1e-9  # avoids division by zero where no attempts are earned
+MIN_BUDGET_LIFETIME = 0.25  # shortest lifetime of an earned attempt, as a share of the overload window
 
 
 class SlowStart:
-    """Capacity of endpoints that warm up, and this node's budget for them."""
+    """Computes the capacity of endpoints in slow start, and manages this node's budgets for them."""
 
     def __init__(
         self,
@@ -38,7 +40,7 @@
         self._working_set = working_set
 
     def capacity_share(self, endpoint: Endpoint, now: float) -> float:
-        """Share of its full capacity that an endpoint is sure to have at ``now`` ms, 0 to 1."""
+        """Return the share of its full capacity that an endpoint has at least at ``now`` ms, 0 to 1."""
         if not endpoint.started_at:
             return 1.0
         settings = self._settings
@@ -49,47 +51,49 @@
         return initial + (1.0 - initial) * age / settings.slow_start_duration
 
     def may_send(self, tracked: TrackedEndpoint, now: float) -> bool:
-        """Whether an endpoint is warm, or an earned attempt is left for it at ``now`` ms.
+        """Return whether an endpoint is warm, or its budget has an earned attempt left at ``now`` ms.
 
-        Earns attempts up to ``now``; ``attempt_sent`` has to follow at the same time if one is used.
+        Adds what was earned up to ``now``. If the attempt is used, ``attempt_sent`` must be called with the
+        same ``now``.
         """
         capacity = self.capacity_share(tracked.endpoint, now)
         return capacity >= 1.0 or self._accrue_and_check(tracked.slow_start, capacity, now)
 
     def attempt_sent(self, tracked: TrackedEndpoint, now: float) -> None:
-        """Take an attempt from the budget of an endpoint that warms up."""
+        """Take an attempt from the budget of an endpoint, if that is in slow start."""
         if self.capacity_share(tracked.endpoint, now) < 1.0:
             budget = tracked.slow_start
-            budget.earned = budget.used = int(budget.earned)  # the next one is earned from here on
+            budget.earned = budget.used = int(budget.earned)  # also drops the fraction earned of the next one
 
     def _accrue_and_check(self, budget: SlowStartBudget, capacity: float, now: float) -> bool:
         rate = self._earning_rate(capacity)
         budget.earned += rate * (now - budget.earned_at)
         budget.earned_at = now
-        whole = int(budget.earned)
-        # The fraction above it tells how long ago the last whole attempt was earned.
-        return whole > budget.used and budget.earned - whole <= rate * self._lifetime(rate)
+        whole_attempts = int(budget.earned)
+        # The fraction beyond the whole attempts shows how long ago the last of them was earned.
+        return whole_attempts > budget.used and budget.earned - whole_attempts <= rate * self._lifetime(rate)
 
     def _earning_rate(self, capacity: float) -> float:
-        """Attempts a ms that this node earns at an endpoint with a share of its capacity."""
-        # What was answered counts, since little of what is sent may arrive. A new node has seen nothing and
-        # begins with its part of one request at a time.
-        one_at_a_time = 1.0 / self._settings.node_count / max(self._latency.typical)
-        warm_rate = max(self._concurrency.peak_rate_per_endpoint, one_at_a_time)
+        """Return the attempts per ms that this node earns at an endpoint with this share of its capacity."""
+        # Based on responses, as many of the attempts sent may fail. A new node, which has no responses yet,
+        # starts with its share of the rate at which one request at a time is served.
+        sequential_rate = 1.0 / self._settings.node_count / max(self._latency.typical)
+        warm_rate = max(self._concurrency.peak_rate_per_endpoint, sequential_rate)
         working_set = self._working_set
-        return CAPACITY_USE * capacity * warm_rate * working_set.ready_count / working_set.subset.size
+        return CAPACITY_SHARE_USED * capacity * warm_rate * working_set.ready_count / working_set.subset.size
 
     def _lifetime(self, rate: float) -> float:
-        """Time in ms for which an earned attempt can be used.
+        """Return the time in ms for which an earned attempt can be used.
 
-        It keeps what all nodes have ready at once within the bound. All nodes earn ``expected`` attempts in
-        the overload window. The bound takes a part of the overload factor, since the peak rates that the
-        nodes have seen add up to more than there ever was at once, and half of what may come by chance.
+        It limits the unused attempts of all nodes to what may come on top of the ``expected`` attempts that
+        they earn in an overload window. The limit uses only a share of the overload factor, since the nodes'
+        peak rates add up to more than the fleet ever served at once, and half of the random variation that an
+        endpoint is assumed to withstand (two standard deviations and 2 attempts).
         """
         settings, working_set = self._settings, self._working_set
         window = settings.slow_start_overload_window
         expected = rate * settings.node_count * working_set.subset.size / working_set.ready_count * window
-        bound = expected * settings.slow_start_overload_factor * OVERLOAD_FACTOR_USE
-        # The square root is the standard deviation of so many independent attempts.
-        spare = max(bound - expected, 0.0) + math.sqrt(bound) + 1
-        return window * max(MIN_BUDGET_LIFETIME, spare / max(expected, NO_ATTEMPTS))
+        bound = expected * settings.slow_start_overload_factor * OVERLOAD_FACTOR_SHARE_USED
+        # The square root is the standard deviation of the number of attempts, if they are independent.
+        allowance = max(bound - expected, 0.0) + math.sqrt(bound) + 1
+        return window * max(MIN_BUDGET_LIFETIME, allowance / max(expected, MIN_EXPECTED_ATTEMPTS))
