--- a/load_balancer/policy/staleness.py
+++ b/load_balancer/policy/staleness.py
@@ -1,7 +1,7 @@
-"""Stale endpoint lists: which endpoints may be used while discovery can't be heard, and when to ask again.
+"""Stale endpoint lists: which endpoints to use while discovery is unreachable, and when to poll it again.
 
-For ``stale_endpoints_limit`` ms after the last word all are used, then only those that served this node
-within that time, after USE_ALL_AFTER all again.
+For ``stale_endpoints_limit`` ms after the last contact with discovery all endpoints are used, then only those
+that served an attempt of this node within that time, and after USE_ALL_AFTER ms all endpoints again.
 """
 
 from __future__ import annotations
@@ -13,37 +13,44 @@
 from load_balancer.policy.settings import Settings
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 
-USE_ALL_AFTER = (
-    30000.0  # ms without a word from discovery after which all endpoints are used: it may stay down
-)
-FIRST_BACKOFF_PARTS = 40  # parts of the poll interval limit of which the first backoff is one
-RESET_BACKOFF_PARTS = 20  # the same, after a good update
-MAX_BACKOFF_PARTS = 4  # the same, for the longest backoff
-MIN_JITTER = 0.2  # of the backoff that is always waited; the rest is random: nodes must not call together
+# ms without contact with discovery after which all endpoints are used, as discovery may stay down for long.
+USE_ALL_AFTER = 30000.0
+# The poll interval limit is divided by these for the first backoff at the start, the first after a successful
+# update, and the longest one.
+INITIAL_BACKOFF_DIVISOR = 40
+RESET_BACKOFF_DIVISOR = 20
+MAX_BACKOFF_DIVISOR = 4
+# Share of the backoff that is always waited; the rest is random, so that nodes don't poll at the same time.
+MIN_BACKOFF_SHARE = 0.2
 
 
 class StalenessGuard:
-    """Knows whether the endpoint list is up to date.
+    """Tracks how old the endpoint list is, and limits the use of a stale one.
 
     Args:
-        settings: How long a list may be used, and how discovery is asked.
+        settings: How long a stale list may be used, and whether and how often to poll discovery.
         rng: Source of random numbers.
     """
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._random = rng
         self._polled = settings.endpoints_are_polled
-        self._interval_limit = settings.poll_interval_limit
+        self._poll_interval_limit = settings.poll_interval_limit
         self._stale_limit = settings.stale_endpoints_limit
         self._connect_timeout = settings.connect_timeout
-        self._backoff = self._interval_limit / FIRST_BACKOFF_PARTS
-        self._stale_since = math.inf  # last word from discovery; inf: the list is up to date
+        self._backoff = self._poll_interval_limit / INITIAL_BACKOFF_DIVISOR
+        self._stale_since = math.inf  # last contact with discovery, ms; inf: the list is up to date
 
     def update(self, kind: UpdateKind, last_heard_at: float | None, now: float) -> float | None:
-        """Take note of an endpoint update at ``now`` ms.
+        """Record an endpoint update.
+
+        Args:
+            kind: Kind of the update.
+            last_heard_at: Time in ms of the last contact with discovery, if it is unreachable; None: ``now``.
+            now: Time on the policy's clock, ms.
 
         Returns:
-            ms after which to ask discovery again; None: no need to.
+            Delay in ms after which to poll discovery again; None: polling is not needed.
         """
         retry_in = None
         if kind in (UpdateKind.CACHED_SNAPSHOT, UpdateKind.UNAVAILABLE):
@@ -52,19 +59,19 @@
             self._stale_since = min(self._stale_since, now if last_heard_at is None else last_heard_at)
         else:
             self._stale_since = math.inf
-            self._backoff = self._interval_limit / RESET_BACKOFF_PARTS
+            self._backoff = self._poll_interval_limit / RESET_BACKOFF_DIVISOR
         return retry_in
 
     def _next_backoff(self) -> float:
-        backoff = self._backoff * (MIN_JITTER + (1 - MIN_JITTER) * self._random.random())
-        self._backoff = min(2 * self._backoff, self._interval_limit / MAX_BACKOFF_PARTS)
+        backoff = self._backoff * (MIN_BACKOFF_SHARE + (1 - MIN_BACKOFF_SHARE) * self._random.random())
+        self._backoff = min(2 * self._backoff, self._poll_interval_limit / MAX_BACKOFF_DIVISOR)
         return backoff
 
     def may_use(self, tracked: TrackedEndpoint, now: float) -> bool:
-        """Whether an attempt sent at ``now`` ms breaks no drain that this node may have missed.
+        """Return whether an endpoint can be sent an attempt at ``now`` ms without violating a missed drain.
 
-        A drain takes effect ``stale_endpoints_limit`` ms after discovery has it. An attempt that the endpoint
-        has served since shows that it was not draining, because a draining endpoint rejects requests.
+        A drain takes effect ``stale_endpoints_limit`` ms after discovery lists it. An attempt that the
+        endpoint has served since shows that it was not draining, as a draining endpoint rejects requests.
         """
         if self._stale_since == math.inf or now > self._stale_since + USE_ALL_AFTER:
             return True
