--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -1,7 +1,7 @@
-"""Outlier detection: an endpoint that fails more than the others is ejected for a while.
+"""Outlier detection: temporarily ejects endpoints that fail more often than the others.
 
-It is ejected for a request class or, where it gives no answers at all, for every class. After the ejection it
-gets one attempt at a time until one succeeds.
+An endpoint is ejected for a request class or, if it sends no responses at all, for every class. After the
+ejection it gets one attempt at a time until one succeeds.
 """
 
 from __future__ import annotations
@@ -16,40 +16,42 @@
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from load_balancer.policy.working_set import WorkingSet
 
-BASE_LIMIT = 0.4  # failure ratio of an endpoint from which it is an outlier while others don't fail
-FLEET_FACTOR = 3  # times the unweighted failure ratio of the fleet, added to that limit
-MAX_LIMIT = 0.85  # the limit, at most
-SUCCESS_FACTOR = 0.7  # what a success leaves of the failure ratio
-EJECTION_TIME = 2000.0  # ms of the first ejection; it doubles with each further one
+BASE_RATIO_LIMIT = 0.4  # failure ratio above which an endpoint is an outlier while no others fail
+FLEET_RATIO_FACTOR = 3  # multiple of the fleet's unweighted failure ratio that is added to the limit
+MAX_RATIO_LIMIT = 0.85  # upper bound of the limit
+SUCCESS_DECAY = 0.7  # factor by which a success reduces the failure ratio
+BASE_EJECTION_TIME = 2000.0  # ms; doubles with each recent ejection
 MAX_DOUBLINGS = 4
-EJECTION_JITTER = 0.25  # share by which it varies: endpoints ejected together don't come back together
-MAX_EJECTED_SHARE = 0.34  # of the subset: where more fail, the cause is not in the endpoints
+EJECTION_JITTER = 0.25  # random share, plus or minus: endpoints ejected together don't return together
+MAX_EJECTED_SHARE = 0.34  # share of the subset; if more fail, the cause is not in the endpoints
 
 
 @dataclass(slots=True, frozen=True)
 class FailureGain:
-    """How far one failure moves the failure ratio towards 1."""
+    """Weights of one failure in the moving averages of an endpoint's failure ratios, 0 to 1."""
 
     same_class: float
-    """For the class of the request that failed."""
+    """Weight for the class of the request that failed."""
     other_classes: float
+    """Weight for each of the other classes."""
 
 
-ANSWERED = FailureGain(0.5, 0.1)  # an error; it may concern one class only
-UNANSWERED = FailureGain(0.3, 0.0)  # counted for all classes alike in the ratio of unanswered attempts
-# A rejection is load. It still counts, as an endpoint that only rejects would draw traffic by being quick.
-REJECTED = FailureGain(0.1, 0.03)
+ERROR_GAIN = FailureGain(0.5, 0.1)  # an error may concern only one class
+NO_RESPONSE_GAIN = FailureGain(0.3, 0.0)  # other classes are covered by ``unanswered_ratio``
+# A rejection is a sign of load, not of a fault. It still counts a little: an endpoint that rejects everything
+# responds quickly and would otherwise attract traffic.
+REJECTION_GAIN = FailureGain(0.1, 0.03)
 
 
 class OutlierDetector:
-    """Tracks failures by endpoint and class, and ejects outliers.
+    """Tracks failures by endpoint and request class, and ejects outliers.
 
     Args:
-        settings: Whether a rejected request may have run, which makes a rejection an error.
+        settings: Whether a rejected request may have run; if so, a rejection counts as an error.
         rng: Source of random numbers.
-        registry: Endpoints whose health this part writes.
-        working_set: Endpoints of which only a share may be ejected.
-        failures: Failures of all endpoints.
+        registry: Tracked endpoints, whose health the detector writes.
+        working_set: Subset, of which only a share may be ejected.
+        failures: Failure ratio of all endpoints together.
     """
 
     def __init__(
@@ -60,7 +62,7 @@
         working_set: WorkingSet,
         failures: FleetFailureRatio,
     ) -> None:
-        self._rejected = ANSWERED if settings.rejected_may_have_run else REJECTED
+        self._rejection_gain = ERROR_GAIN if settings.rejected_may_have_run else REJECTION_GAIN
         self._random = rng
         self._registry = registry
         self._working_set = working_set
@@ -68,7 +70,10 @@
 
     @staticmethod
     def may_send(tracked: TrackedEndpoint, class_index: int, now: float) -> bool:
-        """Whether an endpoint is not ejected for a class at ``now`` ms, or may get its one trial attempt."""
+        """Return whether an endpoint may get an attempt of a class at ``now`` ms.
+
+        It may not while it is ejected; afterwards, until a success, only if it has no attempt in flight.
+        """
         ejected_until = tracked.class_health[class_index].ejected_until
         if ejected_until > now:
             return False
@@ -76,56 +81,56 @@
 
     @staticmethod
     def record_success(tracked: TrackedEndpoint, class_index: int) -> None:
-        """Count a success: it ends ejections, but not those of other classes for their own failures."""
+        """Record a success; it ends all ejections but those of other classes for their own failures."""
         health = tracked.class_health[class_index]
-        health.failure_ratio *= SUCCESS_FACTOR
+        health.failure_ratio *= SUCCESS_DECAY
         health.recent_ejections //= 2
-        tracked.unanswered_ratio *= SUCCESS_FACTOR
-        for other in tracked.class_health:
-            if other is health or other.failure_ratio <= BASE_LIMIT:
-                other.ejected_until = 0.0
+        tracked.unanswered_ratio *= SUCCESS_DECAY
+        for other_health in tracked.class_health:
+            if other_health is health or other_health.failure_ratio <= BASE_RATIO_LIMIT:
+                other_health.ejected_until = 0.0
 
     def record_failure(
         self, tracked: TrackedEndpoint, class_index: int, result: AttemptResult, weight: float, now: float
     ) -> None:
-        """Count a failure at ``now`` ms, and eject the endpoint if it stands out.
+        """Record a failure, and eject the endpoint if it is an outlier.
 
         Args:
             tracked: The endpoint.
             class_index: Class of the request that failed.
-            result: How it failed.
-            weight: How far a reset counts, 0 to 1.
-            now: ms on the policy's clock.
+            result: How the attempt failed.
+            weight: Weight of the failure if it is a reset, 0 to 1.
+            now: Time on the policy's clock, ms.
         """
-        gain = self._gain(result)
-        # An early reset concerns the connection: if the process has died, it refuses the next one.
+        gain = self._gain_of(result)
+        # An early reset weighs less, as it may concern only the connection: a dead process refuses the next.
         scale = weight if result is AttemptResult.RESET else 1.0
         same_class, other_classes = gain.same_class * scale, gain.other_classes * scale
-        if gain is UNANSWERED:
+        if gain is NO_RESPONSE_GAIN:
             tracked.unanswered_ratio += same_class * (1.0 - tracked.unanswered_ratio)
-        limit = min(BASE_LIMIT + FLEET_FACTOR * self._failures.unweighted, MAX_LIMIT)
-        for other, health in enumerate(tracked.class_health):
-            step = same_class if other == class_index else other_classes
-            health.failure_ratio += step * (1.0 - health.failure_ratio)
+        limit = min(BASE_RATIO_LIMIT + FLEET_RATIO_FACTOR * self._failures.unweighted, MAX_RATIO_LIMIT)
+        for index, health in enumerate(tracked.class_health):
+            class_gain = same_class if index == class_index else other_classes
+            health.failure_ratio += class_gain * (1.0 - health.failure_ratio)
             if max(health.failure_ratio, tracked.unanswered_ratio) > limit and health.ejected_until <= now:
-                self._eject(tracked, other, now)
+                self._eject(tracked, index, now)
 
-    def _gain(self, result: AttemptResult) -> FailureGain:
+    def _gain_of(self, result: AttemptResult) -> FailureGain:
         if result is AttemptResult.REJECTED:
-            return self._rejected
-        return ANSWERED if result is AttemptResult.ERROR else UNANSWERED
+            return self._rejection_gain
+        return ERROR_GAIN if result is AttemptResult.ERROR else NO_RESPONSE_GAIN
 
     def _eject(self, tracked: TrackedEndpoint, class_index: int, now: float) -> None:
         subset = self._working_set.subset
-        if self._ejected(class_index, now) >= MAX_EJECTED_SHARE * subset.size:
+        if self._ejected_count(class_index, now) >= MAX_EJECTED_SHARE * subset.size:
             return
         health = tracked.class_health[class_index]
         doublings = min(health.recent_ejections, MAX_DOUBLINGS)
         jitter = (1.0 - EJECTION_JITTER) + 2 * EJECTION_JITTER * self._random.random()
-        health.ejected_until = now + EJECTION_TIME * 2**doublings * jitter
+        health.ejected_until = now + BASE_EJECTION_TIME * 2**doublings * jitter
         health.recent_ejections += 1
 
-    def _ejected(self, class_index: int, now: float) -> int:
-        """Number of endpoints of the subset that are ejected for a class."""
-        members = map(self._registry.get, self._working_set.subset.ids)
-        return sum(t is not None and t.class_health[class_index].ejected_until > now for t in members)
+    def _ejected_count(self, class_index: int, now: float) -> int:
+        """Return the number of endpoints of the subset that are ejected for a class at ``now`` ms."""
+        endpoints = map(self._registry.get, self._working_set.subset.ids)
+        return sum(t is not None and t.class_health[class_index].ejected_until > now for t in endpoints)
