--- a/load_balancer/policy/eligibility.py
+++ b/load_balancer/policy/eligibility.py
@@ -27,7 +27,7 @@
         self._not_ejected = outliers.may_send
         self._allowed_while_stale = staleness.may_use
         self._warm_or_budgeted = slow_start.may_send
-        self._repeat_allowed = retries.may_run_at
+        self._repeat_allowed = retries.may_send_to
 
     def allows(self, tracked: TrackedEndpoint, request: PendingRequest, now: float) -> bool:
         """Return whether the next attempt of a request may go to an endpoint at ``now`` ms."""
