--- a/load_balancer/policy/quotas.py
+++ b/load_balancer/policy/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of tenants: which requests exceed what their tenant may send."""
+"""Tenant quotas: decides which requests exceed the request rate of their tenant."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 @dataclass(slots=True)
 class _Bucket:
     level: float
-    """Requests in the bucket."""
+    """Number of requests in the bucket."""
     updated_at: float
-    """ms on the policy's clock."""
+    """Time of the last request, ms on the policy's clock."""
 
 
 class TenantQuotas:
-    """A leaky bucket for each tenant, one second deep.
+    """A leaky bucket for each tenant, which holds one second's worth of requests.
 
-    Each node enforces its part, one in ``node_count``, of each quota on its own traffic.
+    Each node applies 1 / ``node_count`` of each quota to its own traffic.
 
     Args:
-        quotas: Requests a second over all nodes, by tenant; empty: no quotas.
-        node_count: Nodes that share the quotas.
+        quotas: Requests per second over all nodes, by tenant; empty: no quotas.
+        node_count: Number of nodes that share the quotas.
     """
 
     def __init__(self, quotas: Sequence[float], node_count: int) -> None:
@@ -32,10 +32,10 @@
         self._buckets: dict[int, _Bucket] = {}
 
     def count_request(self, tenant: int, now: float) -> bool:
-        """Count a request of a tenant at ``now`` ms if it is within the quota; returns whether it is over it.
+        """Return whether a request of a tenant at ``now`` ms exceeds the quota, and count it if it does not.
 
         Raises:
-            UnknownTenantError: There are quotas, and none for this tenant.
+            UnknownTenantError: Quotas are set, but none for this tenant.
         """
         if not self._quotas:
             return False
@@ -52,5 +52,5 @@
         return exceeded
 
     def drop_idle(self, now: float, idle_for: float) -> None:
-        """Forget buckets not used for ``idle_for`` ms, by when nearly all have leaked empty."""
+        """Drop buckets without a request for ``idle_for`` ms; by then nearly all of them have drained."""
         self._buckets = {t: b for t, b in self._buckets.items() if now - b.updated_at < idle_for}
