--- a/load_balancer/policy/key_sequencing.py
+++ b/load_balancer/policy/key_sequencing.py
@@ -1,4 +1,7 @@
-"""Requests of one key run one at a time, in order of arrival, where their class asks for it."""
+"""Key sequencing: runs requests with the same key one at a time, in order of arrival.
+
+Applies to classes with ``sequential_per_key``.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,10 @@
 
 
 class KeySequencer:
-    """The queues of all keys in use.
+    """Holds a queue for each key in use.
 
     Args:
-        cooldown: ms that a key pauses after an attempt that may still be running.
+        cooldown: Pause of a key in ms after an attempt that may still be running.
     """
 
     def __init__(self, cooldown: float) -> None:
@@ -22,18 +25,18 @@
         return len(self._queues)
 
     def enqueue(self, request: PendingRequest) -> None:
-        """Append a request to the queue of its key."""
+        """Append a request to its key's queue."""
         queue = self._queues.setdefault(request.arrival.key, KeyQueue())
         queue.waiting.append(request)
         request.key_queue = queue
 
     def attempt_sent(self, request: PendingRequest) -> None:
-        """Count an attempt in flight for the request's key."""
+        """Record an attempt in flight for the request's key."""
         if request.key_queue is not None:
             request.key_queue.attempts_in_flight += 1
 
     def attempt_ended(self, request: PendingRequest, result: AttemptResult, now: float) -> None:
-        """Count an attempt that has ended; one that may still be running begins a cooldown."""
+        """Record the end of an attempt at ``now`` ms; one that may still be running starts a cooldown."""
         queue = request.key_queue
         if queue is None:
             return
@@ -43,13 +46,19 @@
         self._changed_queues.append(queue)
 
     def finished(self, request: PendingRequest) -> None:
-        """Remove a request that has its final answer from its queue."""
+        """Remove a request that has its final response from its queue."""
         if request.key_queue is not None:
             request.key_queue.waiting.remove(request)
             self._changed_queues.append(request.key_queue)
 
     def next_ready(self) -> PendingRequest | None:
-        """The head of a queue that has moved and has no attempt yet, each once; None: no more of them."""
+        """Return the first request of a queue that has changed, if that request has had no attempt yet.
+
+        Each change of a queue is reported once.
+
+        Returns:
+            The request; None: no changed queue has such a request.
+        """
         while self._changed_queues:
             queue = self._changed_queues.pop()
             if queue.waiting and not queue.waiting[0].attempts_sent:
@@ -58,21 +67,28 @@
 
     @staticmethod
     def position(request: PendingRequest) -> int:
-        """Number of unfinished requests ahead of this one."""
+        """Return the number of unfinished requests of the same key that are ahead of this one."""
         return request.key_queue.waiting.index(request) if request.key_queue is not None else 0
 
     @staticmethod
-    def wait_until(request: PendingRequest, ahead: int, latest: float, now: float) -> float | None:
-        """Time in ms up to which the first attempt has to wait, at most ``latest``; None: it may start."""
+    def wait_until(request: PendingRequest, requests_ahead: int, latest: float, now: float) -> float | None:
+        """Return the time in ms until which the request's first attempt has to wait, or None if it may start.
+
+        Args:
+            request: The request.
+            requests_ahead: Number of unfinished requests of the same key ahead of it.
+            latest: Latest time at which the attempt is still useful, ms; the upper bound of the result.
+            now: Time on the policy's clock, ms.
+        """
         queue = request.key_queue
         if queue is None or request.attempts_sent:
-            return None  # a retry is part of the turn that its request already has
-        if ahead or queue.attempts_in_flight:
+            return None  # a retry continues the turn of its request
+        if requests_ahead or queue.attempts_in_flight:
             return latest
         return min(latest, queue.cooldown_until) if queue.cooldown_until > now else None
 
     def drop_idle(self, now: float) -> None:
-        """Forget the queues that hold nothing."""
+        """Drop queues that have no requests, no attempts in flight and no cooldown at ``now`` ms."""
         self._queues = {
             key: queue
             for key, queue in self._queues.items()
