--- a/load_balancer/policy/pending_request.py
+++ b/load_balancer/policy/pending_request.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of a request until it has its final answer and its attempts have ended."""
+"""State of a request, kept until it has its final response and its attempts have ended."""
 
 from __future__ import annotations
 
@@ -10,43 +10,42 @@
 
 @dataclass(slots=True)
 class PossibleRun:
-    """An attempt that may have run."""
+    """An attempt whose request the endpoint may have executed."""
 
     sent_at: float
-    """ms on the policy's clock."""
+    """Time in ms on the policy's clock."""
     endpoint: Endpoint
 
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """Requests of one key that run one at a time, and what the next of them waits for.
-
-    Written by key_sequencing.
-    """
+    """Queue of requests with the same key, which run one at a time; written by key_sequencing."""
 
     waiting: list[PendingRequest] = field(default_factory=list)
     """Unfinished requests in order of arrival; the first may have attempts in flight."""
     attempts_in_flight: int = 0
-    """Attempts without a result, those of finished requests included."""
+    """Number of attempts without a result, including those of finished requests."""
     cooldown_until: float = 0.0
-    """Time before which no next request starts, ms."""
+    """Time in ms before which the next request must not start."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """A request, its place in a key's queue, and its attempts."""
 
     arrival: RequestArrived
     arrived_at: float
-    """ms on the policy's clock."""
+    """Time in ms on the policy's clock."""
     score: float
-    """Priority, 0 to 100."""
+    """Priority score, 0 to 100."""
     key_queue: KeyQueue | None = None
-    """Written by key_sequencing; the fields below are written by retries."""
+    """Queue of the request's key; None if its class is not sequential. Written by key_sequencing."""
+    # The fields below are written by retries.
     attempts_sent: int = 0
+    """Number of attempts sent, which is also the number of the next one."""
     attempts_in_flight: set[int] = field(default_factory=set)
     """Numbers of the attempts without a result."""
     possible_runs: dict[int, PossibleRun] = field(default_factory=dict)
-    """By attempt number."""
+    """Attempts after which the request may have been executed, by attempt number."""
     tried_endpoints: list[int] = field(default_factory=list)
     """Ids of the endpoints that attempts were sent to."""
