--- a/load_balancer/proxy/errors.py
+++ b/load_balancer/proxy/errors.py
@@ -1,126 +1,126 @@
-"""Errors of the proxy: one tree below ``ProxyError``. Each message says what is wrong, and where."""
+"""Exceptions raised by the proxy, all derived from ``ProxyError``."""
 
 from __future__ import annotations
 
-_MAX_TEXT_LENGTH = 60  # characters that a message quotes of input
+_MAX_QUOTED_LENGTH = 60  # characters of input or of a parser's message in an error message
 
 
 class ProxyError(Exception):
-    """Base class of the errors that the proxy raises."""
+    """Base class of the proxy's exceptions."""
 
 
 class InvalidAddressError(ProxyError):
-    """A value that should be the text ``host:port`` and is not."""
+    """A value that is not a string of the form ``host:port``."""
 
     def __init__(self, value: object) -> None:
-        super().__init__(f"{value!r} is no host:port")
+        super().__init__(f"{value!r} is not a host:port address")
 
 
 class ConfigError(ProxyError):
-    """A configuration that a node can't start with. Its message is one line."""
+    """A configuration that is unreadable or invalid. The message is a single line."""
 
     def __init__(self, reason: object, path: str = "") -> None:
-        """Set what is wrong, and the path of the configuration file if there is one."""
+        """Store the reason, prefixed with the path of the configuration file if there is one."""
         super().__init__(f"{path}: {reason}" if path else str(reason))
 
 
 class InvalidRequestError(ProxyError):
-    """A client's request that can't be forwarded."""
+    """A client's request that is invalid and can't be forwarded."""
 
     def __init__(self, status: int, headers: bytes = b"") -> None:
-        """Set the status of the answer that says why, and header lines that go with it."""
+        """Store the status of the error response, and header lines to send with it."""
         super().__init__(f"status {status}")
         self.status = status
         self.headers = headers
 
 
 class MalformedResponseError(ProxyError):
-    """An upstream's response that is not valid HTTP or exceeds a limit."""
+    """An upstream response that is not valid HTTP or exceeds a size limit."""
 
 
 class DiscoveryError(ProxyError):
-    """A call to discovery that failed, for another reason than the content of the endpoint list."""
+    """A call to discovery that failed. Invalid content of a response raises an ``EndpointListError``."""
 
 
 class ConnectionEndedError(DiscoveryError):
-    """The connection ended before the response did."""
+    """The connection to discovery closed before the response was complete."""
 
     def __init__(self) -> None:
-        super().__init__("the connection ended")
+        super().__init__("connection closed before the response was complete")
 
 
 class ResponseStatusError(DiscoveryError):
-    """Discovery answered with another status than 200."""
+    """Discovery returned a status other than 200."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"status {status}")
+        super().__init__(f"unexpected status {status}")
         self.status = status
 
 
 class WatchEndedError(DiscoveryError):
-    """Discovery ended the response of a watch."""
+    """Discovery ended the response to a watch request, which normally stays open."""
 
     def __init__(self) -> None:
-        super().__init__("the watch ended")
+        super().__init__("discovery ended the watch response")
 
 
 class EndpointListError(ProxyError):
-    """An endpoint list, or a delta of it, that can't be used."""
+    """A snapshot or delta of the endpoint list that can't be applied."""
 
 
 class EndpointListSyntaxError(EndpointListError):
-    """A text that is no JSON, ends too soon, or doesn't have the form of an endpoint list."""
+    """Input that is not valid JSON, is truncated, or does not have the structure of an endpoint list."""
 
     def __init__(self, reason: str, position: str = "") -> None:
-        """Set what is wrong, and after how many entries if that is known."""
-        reason = " ".join(reason.split())[:_MAX_TEXT_LENGTH]
+        """Store the reason, and its position in the list if that is known."""
+        reason = " ".join(reason.split())[:_MAX_QUOTED_LENGTH]
         super().__init__(f"{position}: {reason}" if position else reason)
 
 
 class EndpointListFieldError(EndpointListError):
-    """A field of the list itself that is missing or has a wrong value."""
+    """A top-level field of the list that is missing or invalid."""
 
 
 class EndpointEntryError(EndpointListError):
-    """An entry of the list that can't be used."""
+    """An entry of the list that is invalid."""
 
     def __init__(self, entry_number: int, name: object, reason: object) -> None:
-        """Set the number of the entry, counted from 1, the name of its endpoint, and what is wrong."""
+        """Store the number of the entry, counted from 1, the name of its endpoint, and the reason."""
         super().__init__(f"entry {entry_number}, {name}: {reason}")
         self.entry_number = entry_number
 
 
 class InvalidFieldError(ProxyError):
-    """A field of an entry that has a wrong value."""
+    """A field of an entry that has an invalid value."""
 
     def __init__(self, field: str, value: object) -> None:
-        super().__init__(f"{field} can't be {repr(value)[:_MAX_TEXT_LENGTH]}")
+        super().__init__(f"{field} has the invalid value {repr(value)[:_MAX_QUOTED_LENGTH]}")
         self.field = field
 
 
 class AddressTableFullError(ProxyError):
-    """Too many different host names among the addresses of endpoints."""
+    """Too many distinct host names in the addresses of endpoints."""
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"over {limit} names of hosts")
+        super().__init__(f"more than {limit} distinct host names")
 
 
 class DuplicateEndpointError(EndpointListError):
-    """A snapshot that lists an endpoint twice."""
+    """A snapshot with two entries for the same endpoint."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"endpoint {name} is listed twice")
 
 
 class TooManyEndpointsError(EndpointListError):
-    """A list with more endpoints than the memory of the node has room for."""
+    """A list with more endpoints than the node's memory limit allows."""
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"over {limit} endpoints, the most that the memory has room for")
+        super().__init__(f"more than {limit} endpoints, the maximum for the node's memory limit")
 
 
 class StaleVersionError(EndpointListError):
-    """An update whose version is lower than that of an earlier one."""
+    """An update with a lower version than one that was applied before."""
 
     def __init__(self, version: int, newest_version: int) -> None:
         super().__init__(f"version {version} is older than {newest_version}")
--- a/tests/proxy/test_address_table.py
+++ b/tests/proxy/test_address_table.py
@@ -23,5 +23,5 @@
     table = AddressTable()
     table.encode(("a.local", 1))
     table.encode(("a.local", 2))
-    with pytest.raises(AddressTableFullError, match="over 1 names"):
+    with pytest.raises(AddressTableFullError, match="more than 1 distinct host names"):
         table.encode(("b.local", 1))
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -47,7 +47,7 @@
         (
             SNAPSHOT.replace(b'"cell":0', b'"cell":"x"', 9),
             EndpointEntryError,
-            "entry 1, s-00000000: cell can't be 'x'",
+            "entry 1, s-00000000: cell has the invalid value 'x'",
         ),
         (
             SNAPSHOT.replace(b'"hostPort":"10.0.0.7:9000"', b'"hostPort":"10.0.0.7"'),
@@ -59,11 +59,11 @@
             DuplicateEndpointError,
             f"endpoint {endpoint_name(3)} is listed twice",
         ),
-        (b"".join(snapshot_chunks(101, 3)), TooManyEndpointsError, "over 100 endpoints"),
+        (b"".join(snapshot_chunks(101, 3)), TooManyEndpointsError, "more than 100 endpoints"),
         (
             SNAPSHOT.replace(b'"weight":1.0', b'"weight":-1.0', 1),
             EndpointEntryError,
-            "entry 1, s-00000000: weight can't be -1.0",
+            "entry 1, s-00000000: weight has the invalid value -1.0",
         ),
         (SNAPSHOT.replace(b"},{", b"}]{", 1), EndpointListSyntaxError, "after 1 entries: parse error"),
         (
@@ -75,12 +75,12 @@
         (
             SNAPSHOT.replace(b'"startedAtMs":0.0', b'"startedAtMs":[]', 1).replace(b"[]", b"null", 1),
             EndpointEntryError,
-            "entry 1, s-00000000: startedAtMs can't be None",
+            "entry 1, s-00000000: startedAtMs has the invalid value None",
         ),
         (
             SNAPSHOT.replace(b'"lifecycle":"active"', b'"lifecycle":"idle"', 1),
             EndpointEntryError,
-            "entry 1, s-00000000: lifecycle can't be 'idle'",
+            "entry 1, s-00000000: lifecycle has the invalid value 'idle'",
         ),
         (
             SNAPSHOT.replace(b'"lifecycle"', b'"life"', 1),
--- a/tests/proxy/test_process.py
+++ b/tests/proxy/test_process.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(
     ("change", "words"),
     [
-        ({"listen": "127.0.0.1"}, "no host:port"),
+        ({"listen": "127.0.0.1"}, "is not a host:port address"),
         ({"seed": "xyz"}, "xyz"),
         ({"known": "none"}, "dictionary"),
         ({"settings": {}}, "Allowed"),
