--- a/load_balancer/proxy/stable_id.py
+++ b/load_balancer/proxy/stable_id.py
@@ -1,4 +1,4 @@
-"""Numbers that stand for names."""
+"""Numeric ids derived from names."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def stable_id(name: bytes) -> int:
-    """Return a number for a name: never 0, and the same at every node and after every restart."""
+    """Return a 64-bit hash of a name, which is never 0 and is the same on every node and after a restart."""
     return int.from_bytes(blake2b(name, digest_size=_ID_BYTES).digest()) or 1
