--- a/load_balancer/proxy/clock.py
+++ b/load_balancer/proxy/clock.py
@@ -6,5 +6,5 @@
 
 
 def now_ms() -> float:
-    """Milliseconds on the monotonic clock, which all times of the proxy and of the policy are on."""
+    """Return the monotonic time in ms. The proxy and the policy use this clock unless stated otherwise."""
     return time.monotonic() * 1000
