--- a/load_balancer/proxy/log_rate_limit.py
+++ b/load_balancer/proxy/log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Rate limit for warnings that peers can cause."""
+"""Rate limit for warnings that clients and upstreams can trigger."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 
 @dataclass(slots=True)
-class _WarningHistory:
-    """What happened to the warnings of one message."""
+class _RateLimitState:
+    """The state of the rate limit for one message."""
 
     last_logged_at: float = -math.inf
-    """Unix time in s."""
+    """Unix time in s at which a warning was logged last."""
     suppressed: int = 0
-    """Warnings since then."""
+    """Number of warnings suppressed since then."""
 
 
 class LogRateLimit(logging.Filter):
-    """Lets a warning through once in each interval: clients and upstreams must not be able to flood the log.
+    """Logs each warning at most once per interval, so that clients and upstreams can't flood the log.
 
-    Warnings are told apart by their unformatted message, so all peers share its limit. The number of those
-    suppressed is logged with the next one. Records of other levels always pass.
+    Warnings are grouped by their unformatted message, so the limit is shared by all peers. The number of
+    suppressed warnings is appended to the next one logged. Records of other levels always pass.
     """
 
-    INTERVAL = 10.0  # s
+    INTERVAL_S = 10.0
 
     def __init__(self) -> None:
         super().__init__()
-        self._histories: dict[str, _WarningHistory] = {}
+        self._states: dict[str, _RateLimitState] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether the record is logged; add to its message how many like it were not."""
+        """Return whether to log the record; append the number of suppressed warnings to its message."""
         if record.levelno != logging.WARNING:
             return True
         message = str(record.msg)
-        history = self._histories.setdefault(message, _WarningHistory())
-        if record.created < history.last_logged_at + self.INTERVAL:
-            history.suppressed += 1
+        state = self._states.setdefault(message, _RateLimitState())
+        if record.created < state.last_logged_at + self.INTERVAL_S:
+            state.suppressed += 1
             return False
-        if history.suppressed:
-            record.msg = f"{message} (and {history.suppressed} more like it)"
-        history.last_logged_at = record.created
-        history.suppressed = 0
+        if state.suppressed:
+            record.msg = f"{message} (and {state.suppressed} similar warnings suppressed)"
+        state.last_logged_at = record.created
+        state.suppressed = 0
         return True
--- a/tests/proxy/test_log_rate_limit.py
+++ b/tests/proxy/test_log_rate_limit.py
@@ -19,7 +19,7 @@
     assert [limit.filter(record("accept failed: %s", 100.0 + n)) for n in (1, 2, 9.9)] == [False] * 3
     assert limit.filter(record("another", 101.0))
     late = record("accept failed: %s", 110.0)
-    assert limit.filter(late) and late.msg == "accept failed: %s (and 3 more like it)"
+    assert limit.filter(late) and late.msg == "accept failed: %s (and 3 similar warnings suppressed)"
     later = record("accept failed: %s", 120.0)
     assert limit.filter(later) and later.msg == "accept failed: %s"
 
