--- a/load_balancer/proxy/upstream_attempt.py
+++ b/load_balancer/proxy/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt: one forwarding of a request to an upstream."""
+"""An attempt to forward a request to an upstream."""
 
 from __future__ import annotations
 
@@ -15,20 +15,22 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamAttempt:
-    """An attempt in flight. Times are in ms on the node's clock."""
+    """An attempt in flight. Times are in ms on the monotonic clock of ``now_ms``."""
 
     request_id: int
     number: int
-    """Number of the attempt among those of its request, from 0."""
+    """Number of the attempt within its request, from 0."""
     upstream: Upstream
     target_version: int
-    """The upstream's when the attempt was decided."""
+    """``Upstream.target_version`` when the attempt was started."""
     request: UpstreamRequest
     started_at: float
     deadline: float
     deadline_passed: bool = False
+    """Set when the deadline timer fires; the attempt ends a moment later, after one more read."""
     timer: asyncio.TimerHandle | None = None
+    """The deadline timer."""
     connect_task: asyncio.Task[None] | None = None
-    """Set while a connection is opened for the attempt."""
+    """Set while a connection is being opened for the attempt."""
     connection: UpstreamConnection | None = None
-    """Set once the request is written to it."""
+    """Set once the request has been written to the connection."""
