--- a/load_balancer/proxy/upstream.py
+++ b/load_balancer/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream: an endpoint as the pool connects to it, with its idle connections."""
+"""An endpoint as the connection pool sees it, with its idle connections."""
 
 from __future__ import annotations
 
@@ -11,21 +11,20 @@
 if TYPE_CHECKING:
     from load_balancer.proxy.upstream_connection import UpstreamConnection
 
-# An upstream may send a response twice. Within this time the second one could be taken for the response to
-# the next request on the connection.
+# Minimum idle time before a connection is reused. An upstream may send a response twice, and the duplicate
+# must not be taken for the response to the next request.
 REUSE_DELAY_MS = 20.0
 
 
-@dataclass(
-    slots=True
-)  # not frozen: one is made for each entry of a list, and frozen takes three times as long
+# Not frozen: creating a frozen instance takes three times as long, and each entry of a list creates one.
+@dataclass(slots=True)
 class UpstreamTarget:
-    """What the endpoint list says of an endpoint, as far as its connections depend on it. Not modified."""
+    """The fields of an endpoint list entry that its connections depend on. Instances are never modified."""
 
     address: Address
     state: EndpointState
     started_at: float
-    """Unix time of the last start in ms; 0: long ago."""
+    """Unix time in ms at which the endpoint last started; 0: long ago."""
 
 
 @dataclass(slots=True, eq=False)
@@ -35,15 +34,15 @@
     endpoint_id: int
     target: UpstreamTarget
     target_version: int = 0
-    """Counts changes of the target; connections of an older version are not reused."""
+    """Incremented when the target changes; connections opened for an older version are not reused."""
     attempts_in_flight: int = 0
     idle_connections: list[UpstreamConnection] = field(default_factory=list)
-    """The most recently used last."""
+    """In order of last use, the most recent last."""
 
     def set_target(self, target: UpstreamTarget) -> None:
         """Replace the target and close the idle connections.
 
-        After a restart they are dead, and a draining endpoint gets no new requests.
+        If the endpoint restarted, they are dead; if it is draining, it gets no new requests.
         """
         self.target = target
         self.target_version += 1
@@ -52,7 +51,10 @@
         self.idle_connections.clear()
 
     def pop_idle_connection(self, now: float) -> UpstreamConnection | None:
-        """Remove and return the connection used last, of those idle for at least ``REUSE_DELAY_MS``."""
+        """Remove and return the most recently used connection that may be reused, or None if there is none.
+
+        A connection may be reused when it has been idle for ``REUSE_DELAY_MS``.
+        """
         for index in reversed(range(len(self.idle_connections))):
             if now - self.idle_connections[index].idle_since >= REUSE_DELAY_MS:
                 return self.idle_connections.pop(index)
