--- a/load_balancer/proxy/upstream_connection.py
+++ b/load_balancer/proxy/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an upstream: writes requests, reads responses and tells how each attempt ended."""
+"""Connection to an upstream, on which requests are written and responses read, one attempt at a time."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from load_balancer.proxy.upstream import Upstream
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 
-# Plain integers: a look-up in HTTPStatus is slow for the request path.
+# Plain integers: looking up members of HTTPStatus is slow on the request path.
 STATUS_OK = HTTPStatus.OK.value
-# With "Not-Started: 1", these prove that the request did not run.
+# Together with the header "Not-Started: 1", these prove that the request did not run.
 REJECTION_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value)
 
 logger = logging.getLogger(__name__)
 
 
 class ConnectionOwner(Protocol):
-    """The pool, as its connections see it."""
+    """The interface of the pool that its connections use."""
 
     idle_timeout: AdaptiveIdleTimeout
 
     def release_connection(self, connection: UpstreamConnection) -> None:
-        """Take back a connection whose response is complete."""
+        """Take back a connection whose response is complete, for reuse."""
 
     def remove_connection(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection from the pool."""
 
     def end_attempt(
         self, attempt: UpstreamAttempt, result: AttemptResult, response: UpstreamResponse | None = None
@@ -45,7 +45,7 @@
 
 
 def attempt_result(status: int, not_started: bool) -> AttemptResult:
-    """Return the result that a complete response stands for."""
+    """Return the result of an attempt whose response is complete."""
     if status == STATUS_OK:
         return AttemptResult.SUCCESS
     if not_started and status in REJECTION_STATUSES:
@@ -54,20 +54,20 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection, which carries one attempt at a time.
+    """A connection that carries one attempt at a time, and reports its result to the pool.
 
     Attributes:
-        upstream: The upstream it leads to.
-        target_version: The upstream's when the connection was opened.
+        upstream: The upstream at the other end.
+        target_version: ``Upstream.target_version`` when the connection was opened.
         attempt: The attempt in flight, if any.
-        idle_since: Time in ms at which it was released last; 0 before the first attempt.
-        transport: Its transport, once it is connected.
-        fd: The file descriptor of its socket, once it is connected.
+        idle_since: Time in ms at which the connection was last released to the pool; 0 before that.
+        transport: The transport; set in ``connection_made``.
+        fd: File descriptor of the socket; set in ``connection_made``.
     """
 
     __slots__ = (
         "__weakref__",
-        "_idle_ms",
+        "_idle_before_attempt_ms",
         "_owner",
         "_parser",
         "_poll",
@@ -87,50 +87,51 @@
         self.target_version = upstream.target_version
         self.attempt: UpstreamAttempt | None = None
         self.idle_since = 0.0
-        self._idle_ms = 0.0  # before the attempt in flight
+        self._idle_before_attempt_ms = 0.0
         self._owner = owner
         self._parser = ResponseParser()
         self._poll = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the transport."""
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
+        """Store the transport, and register its socket for ``is_reusable``."""
+        # A cast, since uvloop's transports do not derive from asyncio's. uvloop sets TCP_NODELAY itself.
         self.transport = cast(asyncio.Transport, transport)
         self.fd = transport.get_extra_info("socket").fileno()
         self._poll.register(self.fd, select.POLLIN)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt in flight as RESET, and leave the pool."""
+        """Remove the connection from the pool, and end the attempt in flight as RESET."""
         self.release_parser()
         self._owner.remove_connection(self)
         if (attempt := self.attempt) is not None:
-            # Never CONNECT_FAILED: bytes left in the transport's buffer don't prove that the upstream did
-            # not get the request, so it may have run.
+            # Never CONNECT_FAILED: even if the transport's buffer still holds data, the upstream may have
+            # received the request and run it.
             self.attempt = None
             alive = self._parser.bytes_received > 0
-            self._owner.idle_timeout.record_reuse(self._idle_ms, alive)
+            self._owner.idle_timeout.record_reuse(self._idle_before_attempt_ms, alive)
             self._owner.end_attempt(attempt, AttemptResult.RESET)
 
     def release_parser(self) -> None:
-        """Free the parser of a connection that is closed or was never opened."""
+        """Free the parser once the connection is closed or could not be opened."""
         self._parser.close()
 
     def is_reusable(self) -> bool:
         """Return whether the connection is open with nothing to read, neither data nor end of file.
 
-        The loop may not have read yet what followed the last response: data would be taken for the next one.
+        Data that followed the last response and that the event loop has not read yet would be taken for the
+        next response.
         """
         return not self.transport.is_closing() and not self._poll.poll(0)
 
     def shutdown_now(self) -> None:
-        """Shut the socket down within this call, and abort the transport.
+        """Shut the socket down before returning, and abort the transport.
 
-        The transport alone would close a loop iteration later: the next attempt of the same request may be
-        written by then, and the request would be in flight twice.
+        The transport itself closes the socket only in the next loop iteration. By then the request's next
+        attempt may have been written, and the request would be in flight twice.
         """
         if not self.transport.is_closing():
             sock = socket.socket(fileno=self.fd)
-            with contextlib.suppress(OSError):  # the upstream closed first
+            with contextlib.suppress(OSError):  # the upstream has closed the connection already
                 sock.shutdown(socket.SHUT_RDWR)
             sock.detach()  # the transport owns the descriptor
         self.transport.abort()
@@ -138,7 +139,7 @@
     def send(self, attempt: UpstreamAttempt) -> None:
         """Write the request of an attempt."""
         self.attempt = attempt
-        self._idle_ms = attempt.started_at - self.idle_since if self.idle_since else 0.0
+        self._idle_before_attempt_ms = attempt.started_at - self.idle_since if self.idle_since else 0.0
         attempt.connection = self
         self._parser.start_response()
         remaining_ms = max(1, int(attempt.deadline - now_ms()))
@@ -146,10 +147,10 @@
         self.transport.write(b"%bRequest-Timeout: %dm\r\n\r\n%b" % (request.head, remaining_ms, request.body))
 
     def data_received(self, data: bytes) -> None:
-        """Parse response data; end the attempt once its response is complete or malformed."""
+        """Parse response data, and end the attempt once its response is complete or malformed."""
         attempt = self.attempt
         if attempt is None:
-            # No request is in flight: the data would be taken for the response to the next one.
+            # No request is in flight: the data would be taken for the response to the next request.
             self.transport.abort()
             return
         try:
@@ -169,11 +170,11 @@
     def _complete_attempt(self, attempt: UpstreamAttempt) -> None:
         self.attempt = None
         parser = self._parser
-        self._owner.idle_timeout.record_reuse(self._idle_ms, True)
+        self._owner.idle_timeout.record_reuse(self._idle_before_attempt_ms, True)
         response = parser.response()
         if parser.keep_alive and not parser.has_excess_data:
             self._owner.release_connection(self)
         else:
             self.transport.close()
-        # Last: it may lead to the next attempt.
+        # Last, since it may start the request's next attempt or another request.
         self._owner.end_attempt(attempt, attempt_result(response.status, parser.not_started), response)
