--- a/load_balancer/proxy/upstream_pool.py
+++ b/load_balancer/proxy/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The upstream side of the node: attempts in flight, and the connections that carry them."""
+"""Pool of upstream connections, and the attempts in flight on them."""
 
 from __future__ import annotations
 
@@ -17,44 +17,46 @@
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 from load_balancer.proxy.upstream_connection import UpstreamConnection
 
-LAST_READ_DELAY_S = 0.001  # between an attempt's deadline and its end: the loop reads its sockets once more
+# Time from an attempt's deadline until it is aborted, in which the event loop reads its sockets once more.
+LAST_READ_DELAY_S = 0.001
 REAP_INTERVAL_S = 1.0
 
-# Keys of the counters, as they are logged.
+# Names of the counters in the log.
 CONNECTS_STARTED = "connects started"
 IDLE_CONNECTIONS_DISCARDED = "idle connections discarded"
 CONNECTIONS_REUSED = "connections reused"
 
-AttemptKey = tuple[int, int]  # request id, number of the attempt
+AttemptKey = tuple[int, int]  # request id, number of the attempt within the request
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, frozen=True)
 class PoolLimits:
-    """Limits of the connections to upstreams."""
+    """Limits for the connections to upstreams."""
 
     connect_timeout: float
-    """ms to open a connection."""
+    """Time limit for opening a connection, in ms."""
     idle_timeout: float
-    """ms after which upstreams state that they close an idle connection."""
+    """Configured time after which upstreams close an idle connection, in ms."""
     max_connections: int
+    """Maximum number of connections, open or being opened, to all upstreams together."""
 
 
 class AttemptHandler(Protocol):
-    """What the pool needs of the node."""
+    """The interface of the node that the pool uses."""
 
     def find_target(self, endpoint_id: int) -> UpstreamTarget:
-        """Return the target of an endpoint in the endpoint list.
+        """Return the target of an endpoint in the current endpoint list.
 
         Raises:
             KeyError: The list has no such endpoint.
         """
 
     def check_client_before_send(self, attempt: UpstreamAttempt) -> bool:
-        """Return whether the client still waits, now that the connection for an attempt is open.
+        """Return whether the client is still connected; called when a new connection for an attempt is open.
 
-        If it has disconnected, the handler ends the attempt (``cancel_unsent``) before it returns.
+        If the client has disconnected, the handler calls ``cancel_unsent`` for the attempt before it returns.
         """
 
     def on_attempt_ended(
@@ -66,20 +68,27 @@
 class UpstreamPool:
     """Sends attempts on pooled connections.
 
-    A connection is not reused if its response said so or had excess data, if its upstream is not ready or
-    its target has changed, less than ``REUSE_DELAY_MS`` after its response, after the adaptive idle timeout,
-    or if it is closed or has unread data. The timer that reaps idle connections runs until the loop ends.
+    A connection is not reused if any of these holds:
+
+    - its last response asked to close it or was followed by excess data;
+    - its upstream is not ready, or the target has changed since the connection was opened;
+    - it has been idle for less than ``REUSE_DELAY_MS``, or for longer than the adaptive idle timeout;
+    - it is closed or has unread data.
+
+    The timer that reaps idle connections runs until the event loop ends.
 
     Args:
         loop: The event loop.
-        limits: Limits of the connections.
-        handler: Gets the result of each attempt, from a callback of the loop or from within ``cancel``.
+        limits: Limits for the connections.
+        handler: Receives the result of each attempt, from a callback of the event loop or from within
+            ``cancel`` or ``cancel_unsent``.
 
     Attributes:
-        upstreams: Those with attempts in flight or idle connections, by endpoint id.
+        upstreams: Upstreams with attempts in flight or idle connections, by endpoint id.
         attempts: Attempts in flight.
-        connections: Open connections; those being opened are counted by ``pending_connects``.
-        counts: Events of connections since the reader last cleared them.
+        connections: Open connections, without those being opened, which ``pending_connects`` counts.
+        pending_connects: Number of connections being opened.
+        counts: Counters of connection events, which the metrics reporter clears after each report.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limits: PoolLimits, handler: AttemptHandler) -> None:
@@ -96,7 +105,7 @@
         self.loop.call_later(REAP_INTERVAL_S, self.reap_idle_connections)
 
     def update_target(self, endpoint_id: int, target: UpstreamTarget) -> None:
-        """Apply an entry of the endpoint list."""
+        """Apply a new target of an endpoint, if the pool has attempts or connections to it."""
         upstream = self.upstreams.get(endpoint_id)
         if upstream is not None and upstream.target != target:
             upstream.set_target(target)
@@ -105,7 +114,7 @@
     def send(
         self, request_id: int, number: int, endpoint_id: int, timeout: float, request: UpstreamRequest
     ) -> None:
-        """Start an attempt, which ends after ``timeout`` ms at the latest.
+        """Start an attempt that ends after ``timeout`` ms at the latest.
 
         Raises:
             KeyError: The endpoint list has no such endpoint.
@@ -128,15 +137,15 @@
             attempt.connect_task = self.loop.create_task(self._connect(attempt))
 
     def cancel(self, request_id: int, number: int) -> None:
-        """Stop waiting for an attempt, if it is in flight."""
+        """Abort an attempt as CANCELLED, if it is in flight."""
         attempt = self.attempts.get((request_id, number))
         if attempt is not None:
             self._abort_attempt(attempt, AttemptResult.CANCELLED)
 
     def cancel_unsent(self, request_id: int, number: int) -> None:
-        """End an attempt that waits for its connection: its request is over and must not be written.
+        """Abort an attempt whose connection is still being opened, so that its request is not sent.
 
-        Unlike ``cancel``, this is allowed where the deployment lets no attempt be cancelled.
+        Unlike ``cancel``, this is also allowed in deployments where attempts must not be cancelled.
         """
         attempt = self.attempts.get((request_id, number))
         if attempt is not None and attempt.connection is None:
@@ -145,7 +154,7 @@
     def end_attempt(
         self, attempt: UpstreamAttempt, result: AttemptResult, response: UpstreamResponse | None = None
     ) -> None:
-        """Remove an attempt and report its result; an attempt that has ended is left alone."""
+        """Remove an attempt and report its result to the handler; do nothing if it has ended already."""
         if self.attempts.pop((attempt.request_id, attempt.number), None) is None:
             return
         if attempt.timer is not None:
@@ -156,7 +165,7 @@
         self.handler.on_attempt_ended(attempt, result, response)
 
     def release_connection(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next attempt, or close it if its upstream has changed or drains."""
+        """Keep a connection for reuse, or close it if its upstream's target has changed or is not ready."""
         upstream = connection.upstream
         ready = upstream.target.state is EndpointState.READY
         if connection.target_version != upstream.target_version or not ready:
@@ -166,19 +175,19 @@
         upstream.idle_connections.append(connection)
 
     def remove_connection(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection from the pool."""
         self.connections.discard(connection)
         if connection in connection.upstream.idle_connections:
             connection.upstream.idle_connections.remove(connection)
 
     def reap_idle_connections(self) -> None:
-        """Close the connections that have been idle for too long, at regular intervals."""
+        """Close connections idle for longer than the adaptive timeout, and schedule the next run."""
         self.loop.call_later(REAP_INTERVAL_S, self.reap_idle_connections)
         self.idle_timeout.grow()
-        oldest_kept = now_ms() - self.idle_timeout.current_ms
+        min_idle_since = now_ms() - self.idle_timeout.current_ms
         for upstream in list(self.upstreams.values()):
             idle = upstream.idle_connections
-            while idle and idle[0].idle_since < oldest_kept:
+            while idle and idle[0].idle_since < min_idle_since:
                 idle.pop(0).transport.close()
             self._remove_if_unused(upstream)
 
@@ -198,11 +207,11 @@
         return None
 
     async def _connect(self, attempt: UpstreamAttempt) -> None:
-        """Open a connection for an attempt and send it there."""
+        """Open a connection for an attempt and send the attempt on it."""
         upstream = attempt.upstream
         open_connections = len(self.connections) + self.pending_connects
         if open_connections >= self.max_connections and not self._evict_idle_connection():
-            logger.warning("connection limit reached, none opened to %s:%d", *upstream.target.address)
+            logger.warning("connection limit reached; not connecting to %s:%d", *upstream.target.address)
             self.end_attempt(attempt, AttemptResult.CONNECT_FAILED)
             return
         connection = await self._open_connection(upstream)
@@ -213,7 +222,7 @@
         self._send_on_new_connection(attempt, connection)
 
     async def _open_connection(self, upstream: Upstream) -> UpstreamConnection | None:
-        """Return a new connection, or None if none came up in time or the address is invalid."""
+        """Return a new connection, or None if connecting failed or timed out, or the address is invalid."""
         self.pending_connects += 1
         self.counts[CONNECTS_STARTED] += 1
         connection = UpstreamConnection(self, upstream)
@@ -231,8 +240,8 @@
         return connection
 
     def _send_on_new_connection(self, attempt: UpstreamAttempt, connection: UpstreamConnection) -> None:
-        """Send an attempt unless something that happened while connecting forbids it."""
-        # The upstream may have begun to drain or been restarted; past the deadline nobody waits.
+        """Send an attempt on its new connection, unless the attempt became obsolete while connecting."""
+        # The upstream may have started draining or restarted, or the deadline may have passed.
         outdated = attempt.target_version != attempt.upstream.target_version
         if attempt.deadline_passed or outdated or connection.transport.is_closing():
             connection.transport.abort()
@@ -241,24 +250,24 @@
         if not self.handler.check_client_before_send(attempt):
             connection.transport.abort()
             return
-        # Added here, not in connection_made: if a connect is cancelled just as it completes, uvloop closes
-        # the connection without connection_lost, and it would count against the limit for ever.
+        # Not added in connection_made: if a connect is cancelled just as it completes, uvloop closes the
+        # connection without calling connection_lost, and it would count towards the limit forever.
         self.connections.add(connection)
         connection.send(attempt)
 
     def _evict_idle_connection(self) -> bool:
-        """Abort the connection that has been idle longest; return False if none is idle."""
-        longest_idle = [u.idle_connections[0] for u in self.upstreams.values() if u.idle_connections]
-        if not longest_idle:
+        """Abort the connection that has been idle the longest; return False if none is idle."""
+        oldest_per_upstream = [u.idle_connections[0] for u in self.upstreams.values() if u.idle_connections]
+        if not oldest_per_upstream:
             return False
-        connection = min(longest_idle, key=lambda c: c.idle_since)
+        connection = min(oldest_per_upstream, key=lambda c: c.idle_since)
         connection.upstream.idle_connections.remove(connection)
         connection.transport.abort()
         return True
 
     def _on_deadline(self, attempt: UpstreamAttempt) -> None:
-        # The loop runs timers before it reads sockets: after a stall the response may be there, unread. The
-        # first call lets the loop read once more.
+        # The event loop runs timers before it reads sockets, so after a stall the response may have arrived
+        # unread. The first call only lets the loop read once more.
         if not attempt.deadline_passed:
             attempt.deadline_passed = True
             attempt.timer = self.loop.call_later(LAST_READ_DELAY_S, self._on_deadline, attempt)
@@ -267,7 +276,7 @@
         self._abort_attempt(attempt, AttemptResult.TIMEOUT if sent else AttemptResult.CONNECT_FAILED)
 
     def _abort_attempt(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """End an attempt and its connection, on which a response may still arrive."""
+        """End an attempt, and close its connection, since a response may still arrive on it."""
         if attempt.connect_task is not None:
             attempt.connect_task.cancel()
         if attempt.connection is not None:
