--- a/load_balancer/proxy/response_parser.py
+++ b/load_balancer/proxy/response_parser.py
@@ -1,4 +1,4 @@
-"""Parsing of upstream responses, with limits on their size."""
+"""Parser of upstream responses, with limits on their size."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from load_balancer.proxy.errors import MalformedResponseError
 from load_balancer.proxy.messages import MAX_BODY, MAX_HEAD, UpstreamResponse
 
-MAX_RESPONSE = MAX_HEAD + 2 * MAX_BODY  # bytes, chunk framing included
-MAX_INFORMATIONAL = 8  # 1xx responses ahead of the final one
-MIN_FINAL_STATUS = 200
+MAX_RESPONSE_SIZE = MAX_HEAD + 2 * MAX_BODY  # bytes of head, body and chunk framing
+MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses before the final one
+MIN_FINAL_STATUS = 200  # lower ones are informational
 
 
 class ResponseParser:
     """Parses the responses of one connection, one at a time.
 
     Attributes:
-        bytes_received: Bytes since ``start_response``, informational responses included.
-        complete: The final response has arrived with its last byte.
-        keep_alive: The upstream keeps the connection open; valid once ``complete``.
-        has_excess_data: Bytes followed the complete response.
-        not_started: The response has the header ``Not-Started: 1``.
+        bytes_received: Bytes received since ``start_response``, including informational responses.
+        complete: Whether the final response has been received completely.
+        keep_alive: Whether the upstream keeps the connection open; valid once ``complete`` is set.
+        has_excess_data: Whether more data followed a complete response.
+        not_started: Whether the response has the header ``Not-Started: 1``.
     """
 
     __slots__ = (
@@ -40,7 +40,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._body = bytearray()
         self._content_type = b""
-        self._head_complete = False  # of the final response
+        self._head_complete = False  # of the final response, not of an informational one
         self._informational_count = 0
         self.bytes_received = 0
         self.complete = False
@@ -49,19 +49,19 @@
         self.not_started = False
 
     def close(self) -> None:
-        """Break the reference cycle with the httptools parser, so that no garbage collection is needed."""
+        """Break the reference cycle with the httptools parser, which only the cyclic collector could free."""
         if hasattr(self, "_parser"):
             del self._parser
 
     def start_response(self) -> None:
-        """Expect the next response."""
+        """Reset the state for the next response."""
         self.complete = False
         self._head_complete = False
         self.bytes_received = 0
         self._informational_count = 0
 
     def feed(self, data: bytes) -> None:
-        """Parse received bytes.
+        """Parse the next bytes received.
 
         Raises:
             MalformedResponseError: The response is not valid HTTP, or exceeds a limit.
@@ -74,18 +74,20 @@
                 raise MalformedResponseError(str(error)) from error
             self.has_excess_data = True
         except httptools.HttpParserUpgrade as error:
-            raise MalformedResponseError("protocol upgrade") from error
-        if not self.complete and self.bytes_received > (MAX_RESPONSE if self._head_complete else MAX_HEAD):
+            raise MalformedResponseError("unexpected protocol upgrade") from error
+        if not self.complete and self.bytes_received > (
+            MAX_RESPONSE_SIZE if self._head_complete else MAX_HEAD
+        ):
             raise MalformedResponseError("response too large")
 
     def response(self) -> UpstreamResponse:
         """Return the complete response."""
         return UpstreamResponse(self._parser.get_status_code(), bytes(self._body), self._content_type)
 
-    # Callbacks of httptools. A ValueError raised in one reaches ``feed`` as an HttpParserError.
+    # Callbacks of httptools. If one raises a ValueError, ``feed_data`` raises an HttpParserError.
 
     def on_message_begin(self) -> None:
-        """Start a response, informational or final."""
+        """Start a new message, informational or final; after a complete response it is excess data."""
         if self.complete:
             self.has_excess_data = True
             return
@@ -94,24 +96,24 @@
         self._content_type = b""
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read a header or trailer."""
+        """Process a header or trailer field."""
         if self.complete:
             return
         lower = name.lower()
         if lower == b"content-length" and int(value) > MAX_BODY:
-            raise ValueError("Content-Length too large")  # now: the body may never end
+            raise ValueError("Content-Length too large")  # early: the body may never end
         if lower == b"not-started":
             self.not_started = value == b"1"
         elif lower == b"content-type":
             self._content_type = value
 
     def on_headers_complete(self) -> None:
-        """Note whether the head is that of the final response."""
+        """Record whether this is the head of the final response."""
         if not self.complete:
             self._head_complete = self._parser.get_status_code() >= MIN_FINAL_STATUS
 
     def on_body(self, body: bytes) -> None:
-        """Append a part of the body."""
+        """Append a part of the body, up to ``MAX_BODY`` bytes in total."""
         if self.complete:
             return
         if len(self._body) + len(body) > MAX_BODY:
@@ -119,12 +121,12 @@
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Count an informational response, or complete the final one."""
+        """Count an informational response, or mark the final one as complete."""
         if self.complete:
             return
         if not self._head_complete:
             self._informational_count += 1
-            if self._informational_count > MAX_INFORMATIONAL:
+            if self._informational_count > MAX_INFORMATIONAL_RESPONSES:
                 raise ValueError("too many informational responses")
             return
         self.complete = True
--- a/tests/proxy/test_response_parser.py
+++ b/tests/proxy/test_response_parser.py
@@ -6,7 +6,7 @@
 
 from load_balancer.proxy.errors import MalformedResponseError
 from load_balancer.proxy.messages import MAX_BODY, UpstreamResponse
-from load_balancer.proxy.response_parser import MAX_INFORMATIONAL, ResponseParser
+from load_balancer.proxy.response_parser import MAX_INFORMATIONAL_RESPONSES, ResponseParser
 
 RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Type: text/plain\r\nNot-Started: 1\r\nContent-Length: 4\r\n\r\nfull"
 INFORMATIONAL = b"HTTP/1.1 103 Early Hints\r\nNot-Started: 1\r\nContent-Type: x\r\n\r\n"
@@ -32,14 +32,16 @@
 
 @pytest.mark.parametrize("step", [1, 7, 1000])
 def test_headers_of_informational_responses_are_ignored(step: int) -> None:
-    parser = parse(INFORMATIONAL * MAX_INFORMATIONAL + b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", step)
+    parser = parse(
+        INFORMATIONAL * MAX_INFORMATIONAL_RESPONSES + b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", step
+    )
     assert parser.complete and not parser.not_started
     assert parser.response() == UpstreamResponse(200, b"", b"")
 
 
 def test_too_many_informational_responses_are_malformed() -> None:
     with pytest.raises(MalformedResponseError):
-        parse(INFORMATIONAL * (MAX_INFORMATIONAL + 1), 1000)
+        parse(INFORMATIONAL * (MAX_INFORMATIONAL_RESPONSES + 1), 1000)
 
 
 @pytest.mark.parametrize(("size", "is_valid"), [(MAX_BODY, True), (MAX_BODY + 1, False)])
