--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -1,7 +1,7 @@
 """The node: connects clients, policy, upstreams and discovery.
 
-It makes no decision on admission, routing or retries. What happens on the sockets becomes events for the
-policy, and the policy's commands are executed in the order in which it gives them.
+Decisions on admission, routing and retries are left to the policy. The node passes it events from the sockets
+and executes its commands in the order in which it returns them.
 """
 
 from __future__ import annotations
@@ -50,43 +50,44 @@
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 from load_balancer.proxy.upstream_pool import PoolLimits, UpstreamPool
 
-RESERVED_DESCRIPTORS = 32  # for the event loop, the listener, discovery, files and sockets about to close
-MIN_CONNECTIONS = 30
-# A request in flight holds one connection on either side, but clients keep open what they do not use.
-UPSTREAM_SHARE = 3 / 8
-RESTART_TIME_MS = 3000.0  # for a kill and the new start: the cached endpoint list may be so old
+RESERVED_DESCRIPTORS = 32  # for the event loop, the listener, discovery, files and sockets being closed
+MIN_CONNECTIONS = 30  # to clients and upstreams together
+# Less than half: a request in flight needs one connection on each side, but clients also hold idle ones.
+UPSTREAM_CONNECTION_SHARE = 3 / 8
+# From the kill of the previous process to the start of this one; the cached endpoint list may be this old.
+RESTART_DURATION_MS = 3000.0
 
-ATTEMPT_COUNTERS = {result: f"attempts {result.name.lower()}" for result in AttemptResult}
-CLIENT_ERRORS = range(400, 500)
+ATTEMPT_COUNTER_NAMES = {result: f"attempts {result.name.lower()}" for result in AttemptResult}
+CLIENT_ERROR_STATUSES = range(400, 500)
 TOO_MANY_REQUESTS = 429
 
 logger = logging.getLogger(__name__)
 
 
 class ConnectionLimits(NamedTuple):
-    """How many connections the node may hold on either side."""
+    """Maximum numbers of connections to clients and to upstreams."""
 
     clients: int
     upstreams: int
 
 
 class Node:
-    """One running proxy.
+    """A running instance of the proxy.
 
-    The listener sees it as its ``RequestHandler``, the upstream pool as its ``AttemptHandler``.
+    It is the ``RequestHandler`` of the listener and the ``AttemptHandler`` of the upstream pool.
 
     Args:
         config: The node's configuration.
-        loop: The event loop, which is running.
+        loop: The running event loop.
     """
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
         self.loop = loop
         self.healthy = False
-        """The endpoint list has been applied once, so that requests can be served."""
+        """Whether an endpoint list has been applied, so that requests can be served."""
         self.stopping = False
-        """The graceful shutdown has begun."""
+        """Whether the graceful shutdown has begun."""
         self.policy = Policy(config.settings, config.seed)
         self.policy_runner = PolicyRunner(self.policy, self._command_handlers(), self._abort_request)
         self.requests = RequestTracker()
@@ -105,10 +106,10 @@
     # Lifecycle.
 
     def start(self) -> None:
-        """Listen for clients and follow the endpoint list.
+        """Start to accept clients, to watch the endpoint list and to report metrics.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: The listen address can't be bound.
         """
         self.listener.start()
         self.discovery.start()
@@ -116,27 +117,27 @@
         logger.info("%s listens on %s:%d", self.config.name, *self.listener.address)
 
     def reload(self, environ: Mapping[str, str]) -> None:
-        """Read the configuration again; only the address of discovery can change."""
+        """Read the configuration again; only a change of discovery's address takes effect."""
         reload_configuration(environ, self.discovery)
 
     async def shut_down(self) -> None:
-        """Answer the requests in flight and those that still come, then end."""
+        """Answer the requests in flight and those that still arrive, then close the node."""
         self.stopping = True
         longest_deadline = max(request_class.deadline for request_class in self.config.settings.classes)
         await drain_client_connections(self.listener, self.requests, longest_deadline)
-        self.close()  # only now: retries need the endpoint list until the last request is answered
+        self.close()  # after the drain, since retries need the endpoint list until the last response
         logger.info("stopped")
 
     def close(self) -> None:
-        """Close the listener, the watch and the timer of the metrics at once."""
+        """Stop the metrics reports, and close the listener and the watch at once."""
         self.metrics.stop()
         self.listener.close()
         self.discovery.close()
 
-    # RequestHandler: what happens on the client connections.
+    # RequestHandler: called by the client connections.
 
     def on_request(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Register a client's request and pass it to the policy."""
+        """Register a client's request, and pass it to the policy."""
         self.policy_runner.submit(self.requests.add(connection, request))
 
     def on_client_disconnected(self, request_id: int) -> None:
@@ -146,7 +147,7 @@
             self.requests.counters["clients disconnected"] += 1
             self._cancel_request(request_id, pending)
 
-    # Commands of the policy.
+    # Execution of the policy's commands.
 
     def _command_handlers(self) -> CommandHandlers:
         return {
@@ -193,7 +194,7 @@
         self.pool.cancel(command.request_id, command.attempt)
 
     def _set_timer(self, command: SetTimer) -> None:
-        # Rounded up: a timer that fires early finds nothing due and would be set again at once.
+        # Rounded up: a timer that fires early would find nothing due and be set again at once.
         delay = math.ceil(command.delay) / 1000
         self.loop.call_later(delay, self.policy_runner.submit, TimerFired(command.token))
 
@@ -201,10 +202,10 @@
         logger.info("%s", command.message)
 
     def _watch_endpoints(self, command: WatchEndpoints) -> None:
-        """Do nothing: the node watches the endpoint list from its start."""
+        """Do nothing, since the node watches the endpoint list from its start."""
 
     def _abort_request(self, request_id: int) -> None:
-        """Answer a request on which the policy or a command failed, and end it for the policy too."""
+        """Answer a request with 500 after an exception in the policy or in a command, and cancel it."""
         pending = self.requests.pending.get(request_id)
         if pending is not None:
             self.requests.answer(request_id, 500)
@@ -212,30 +213,31 @@
 
     def _cancel_request(self, request_id: int, pending: PendingRequest) -> None:
         self.policy_runner.submit(RequestCancelled(request_id))
-        # The policy cancels attempts where the settings allow it. One without a connection yet must not be
-        # sent in any case. It can only be the newest; -1, where there was none, is no attempt's number.
+        # The policy cancels attempts where the settings allow it. An attempt that has no connection yet must
+        # not be sent in any case. Only the newest can lack one; -1, if there was none, matches no attempt.
         self.pool.cancel_unsent(request_id, pending.attempts - 1)
 
     def _drop_client(self, request_id: int, client: ClientConnection) -> None:
-        """End a request whose client has disconnected, which the event loop has not read yet."""
+        """End a request whose client has disconnected, before the event loop has read the end of file."""
         client.transport.abort()
         self.on_client_disconnected(request_id)
 
-    # AttemptHandler: what happens to attempts.
+    # AttemptHandler: called by the upstream pool.
 
     def find_target(self, endpoint_id: int) -> UpstreamTarget:
-        """Return where an endpoint of the list in force listens.
+        """Return the target of an endpoint in the current endpoint list.
 
         Raises:
-            KeyError: The endpoint is not in the list.
+            KeyError: The list has no such endpoint.
         """
         return self.endpoints.target(endpoint_id)
 
     def check_client_before_send(self, attempt: UpstreamAttempt) -> bool:
-        """Return whether the client still waits; if not, end its request and with that the attempt."""
+        """Return whether the client is still connected; if not, end its request and the attempt."""
         pending = self.requests.pending.get(attempt.request_id)
         if pending is not None and pending.client.is_disconnected():
-            # The listener's sweep would see a close behind a paused reader only after the attempt was sent.
+            # While reading from the client is paused, the disconnect would only be detected by the listener's
+            # next sweep, after the attempt was sent.
             self._drop_client(attempt.request_id, pending.client)
             return False
         return True
@@ -245,11 +247,11 @@
     ) -> None:
         """Pass the result of an attempt to the policy, and a final response to the client."""
         request_id, requests = attempt.request_id, self.requests
-        # Counted as the upstream answered, also where the policy gets CANCELLED for a client's fault.
-        requests.counters[ATTEMPT_COUNTERS[result]] += 1
+        # The upstream's result is counted, even if the policy gets CANCELLED for a client error.
+        requests.counters[ATTEMPT_COUNTER_NAMES[result]] += 1
         is_final = result is AttemptResult.SUCCESS
-        if response is not None and _is_client_fault(response.status):
-            # A retry would fail alike, and a faulty client must not make endpoints look unhealthy.
+        if response is not None and _is_client_error(response.status):
+            # A retry would fail in the same way, and invalid requests must not make endpoints look unhealthy.
             is_final, result = True, AttemptResult.CANCELLED
         pending = requests.remove(request_id) if is_final else None
         request_over = request_id not in requests.pending
@@ -257,14 +259,14 @@
         ended = AttemptEnded(
             request_id, attempt.upstream.endpoint_id, request_over, result, attempt.number, elapsed
         )
-        # Queued before the answer is written: the client's next request may begin with that, and the policy
-        # would still count this attempt as in flight.
+        # Queued before the response is written, which may start the client's next request. Otherwise the
+        # policy would handle that request while it still counts this attempt as in flight.
         self.policy_runner.enqueue(ended)
         if pending is not None and response is not None:
             requests.forward_response(pending, response)
         self.policy_runner.process_queue()
 
-    # The endpoint list.
+    # Updates of the endpoint list.
 
     def _new_discovery_client(self) -> DiscoveryClient:
         config = self.config
@@ -282,28 +284,28 @@
         self.healthy = True
 
     def _discovery_status_changed(self, last_heard_at: float | None) -> None:
-        """Report to the policy that discovery is unavailable since this time in ms; None: it is back."""
+        """Tell the policy that discovery was last heard at this time in ms, or with None that it is back."""
         kind = UpdateKind.DELTA if last_heard_at is None else UpdateKind.UNAVAILABLE
         version = self.discovery.version or 0
         self.policy_runner.submit(EndpointUpdate(kind, version, [], last_heard_at))
 
-    def _apply_cached_endpoints(self, read: Callable[[UpdateBuilder], DiscoveryUpdate | None]) -> None:
-        version = self.endpoint_updater.apply_cached(read)
+    def _apply_cached_endpoints(self, load: Callable[[UpdateBuilder], DiscoveryUpdate | None]) -> None:
+        version = self.endpoint_updater.apply_cached(load)
         if version is None:
             return
         self.healthy = True
         self.discovery.resume_from(version)
-        # After the list: each DELTA tells the policy that discovery is available.
-        last_heard_at = now_ms() - RESTART_TIME_MS
+        # Submitted after the list, since each DELTA tells the policy that discovery is available.
+        last_heard_at = now_ms() - RESTART_DURATION_MS
         self.policy_runner.submit(EndpointUpdate(UpdateKind.UNAVAILABLE, version, [], last_heard_at))
 
 
 def _connection_limits(max_descriptors: int) -> ConnectionLimits:
     total = max(max_descriptors - RESERVED_DESCRIPTORS, MIN_CONNECTIONS)
-    upstreams = int(total * UPSTREAM_SHARE)
+    upstreams = int(total * UPSTREAM_CONNECTION_SHARE)
     return ConnectionLimits(total - upstreams, upstreams)
 
 
-def _is_client_fault(status: int) -> bool:
-    """Return whether an upstream found the request itself at fault; 429 is about the upstream's own load."""
-    return status in CLIENT_ERRORS and status != TOO_MANY_REQUESTS
+def _is_client_error(status: int) -> bool:
+    """Return whether a status means that the request is invalid; 429 means that the upstream is busy."""
+    return status in CLIENT_ERROR_STATUSES and status != TOO_MANY_REQUESTS
