--- a/load_balancer/proxy/policy_runner.py
+++ b/load_balancer/proxy/policy_runner.py
@@ -1,4 +1,4 @@
-"""Runs the policy: events in, commands out, one event at a time."""
+"""Passes events to the policy and executes the commands that it returns, one event at a time."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 class PolicyRunner:
     """Passes events to the policy and executes its commands, both strictly in order.
 
-    Events that arise while commands are executed are queued. An exception is logged, and the request that it
-    concerns is ended; other requests go on. An EndpointUpdate that failed is not repeated.
+    Events submitted while a command is executed are queued. An exception raised by the policy or by a handler
+    is logged, and ``on_failure`` is called for the request concerned; other requests continue. An
+    EndpointUpdate that failed is not retried.
 
     Args:
         policy: The policy, which is not reentrant.
-        handlers: The function that executes each type of command.
+        handlers: Functions that execute the commands, by type of command.
         on_failure: Called with the id of the request whose event or command raised an exception.
     """
 
@@ -37,16 +38,19 @@
         self._running = False
 
     def submit(self, event: Event) -> None:
-        """Pass an event to the policy, after those that are queued."""
+        """Pass an event to the policy after the queued ones, and execute the resulting commands.
+
+        During the execution of a command, the event is only queued.
+        """
         self._events.append(event)
         self.process_queue()
 
     def enqueue(self, event: Event) -> None:
-        """Queue an event until the next ``submit`` or ``process_queue``."""
+        """Queue an event for the next call of ``submit`` or ``process_queue``."""
         self._events.append(event)
 
     def process_queue(self) -> None:
-        """Process the queued events; without effect from within a command, whose caller goes on with them."""
+        """Process the queued events; do nothing if a call of this method is already doing so."""
         if self._running:
             return
         self._running = True
@@ -61,18 +65,18 @@
         try:
             return self._policy.handle(now_ms(), event)
         except Exception:
-            logger.warning("policy failed on event %s", type(event).__name__, exc_info=True)
+            logger.warning("exception while the policy handled %s", type(event).__name__, exc_info=True)
             if isinstance(event, RequestArrived | AttemptEnded):
                 self._on_failure(event.request_id)
             elif isinstance(event, TimerFired):
-                self._on_failure(event.token)  # the id of a request, or of none
+                self._on_failure(event.token)  # may be a request id; other tokens are ignored
             return []
 
     def _execute(self, command: Command) -> None:
-        # Commands of one event may belong to several requests: each fails alone.
+        # The commands of one event may belong to several requests: an exception in one must not stop others.
         try:
             self.handlers[type(command)](command)
         except Exception:
-            logger.warning("command %s failed", type(command).__name__, exc_info=True)
+            logger.warning("exception while command %s was executed", type(command).__name__, exc_info=True)
             if isinstance(command, SendAttempt | RejectRequest | FailRequest):
                 self._on_failure(command.request_id)
