--- a/load_balancer/proxy/metrics.py
+++ b/load_balancer/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of the node, reported in the log."""
+"""Periodic report of the node's counters in the log."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from collections import Counter
 from collections.abc import Sequence
 
-REPORT_INTERVAL_S = 10.0  # s
+REPORT_INTERVAL_S = 10.0
 
 logger = logging.getLogger(__name__)
 
 
 class MetricsReporter:
-    """Logs the counters of several owners in one line, periodically.
+    """Logs the counters of several components periodically, together in one line.
 
-    A reported counter starts again from zero, and an interval in which nothing was counted has no line.
+    The counters are reset to zero after each report. Nothing is logged if nothing was counted.
 
     Args:
         loop: The event loop that runs the timer.
-        counters: The owners' counters; this class clears them.
+        counters: The components' counters, which this class clears.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, counters: Sequence[Counter[str]]) -> None:
@@ -28,16 +28,16 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Report now, and from now on every ``REPORT_INTERVAL_S``."""
-        self._tick()
+        """Report at once, and then every ``REPORT_INTERVAL_S`` seconds."""
+        self._report_and_reschedule()
 
     def stop(self) -> None:
-        """Report no more."""
+        """Cancel the periodic report."""
         if self._timer is not None:
             self._timer.cancel()
 
     def report(self) -> None:
-        """Log what was counted since the last report, and clear it."""
+        """Log the counts since the last report, and clear the counters."""
         totals = sum(self._counters, Counter[str]())
         for counter in self._counters:
             counter.clear()
@@ -45,6 +45,6 @@
             text = ", ".join(f"{name} {count}" for name, count in sorted(totals.items()))
             logger.info("in %.0f s: %s", REPORT_INTERVAL_S, text)
 
-    def _tick(self) -> None:
+    def _report_and_reschedule(self) -> None:
         self.report()
-        self._timer = self._loop.call_later(REPORT_INTERVAL_S, self._tick)
+        self._timer = self._loop.call_later(REPORT_INTERVAL_S, self._report_and_reschedule)
