--- a/load_balancer/proxy/messages.py
+++ b/load_balancer/proxy/messages.py
@@ -1,24 +1,25 @@
-"""HTTP messages between the client side and the upstream side, and the sizes that both accept."""
+"""HTTP messages passed between the client side and the upstream side, and their size limits."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_BODY = 65536  # bytes of a body
-MAX_HEAD = 16384  # bytes of a start line and its headers
+MAX_BODY = 65536  # bytes
+MAX_HEAD = 16384  # bytes of the start line and the header lines together
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """A request as it goes on: all but its time-out, which each attempt writes anew."""
+    """Request to be forwarded, without Request-Timeout: each attempt adds its own."""
 
-    head: bytes  # request line and header lines
+    head: bytes
+    """Request line and header lines, without the blank line that ends them."""
     body: bytes
 
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """A server's whole answer."""
+    """Complete response of an upstream."""
 
     status: int
     body: bytes
