--- a/load_balancer/proxy/client_request.py
+++ b/load_balancer/proxy/client_request.py
@@ -1,4 +1,4 @@
-"""What arrives on a client connection and is answered in turn."""
+"""Items queued on a client connection: valid requests, health checks and error responses."""
 
 from __future__ import annotations
 
@@ -9,40 +9,42 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A valid request that is to be forwarded. Times are in ms."""
+    """Validated client request to be forwarded to an upstream."""
 
     message: UpstreamRequest
     client_request_id: bytes
-    """Value of its Request-Id header."""
+    """Value of the Request-Id header."""
     class_index: int
+    """Index of the request class in the settings."""
     tenant: int
+    """Index of the tenant in the settings; 0 if they list no tenants."""
     key: int
-    """What the request is about, the same number at every node; 0: none."""
+    """Hash of the last path segment, the same on every node; 0 if that is empty or the class name."""
     received_at: float
-    """On the node's clock; stands for when the client sent it, which the node can't know."""
+    """Time in ms on the node's clock; approximates the time of sending, which the node can't know."""
     timeout: float
-    """From then until the client gives up."""
+    """Time in ms after ``received_at`` at which the client gives up."""
     cost_hint: float
-    """Expected work; 0: unknown."""
+    """Processing time in ms that the client expects; 0 if unknown."""
     is_client_retry: bool
     keep_alive: bool
-    """Whether the client wants the connection kept after the response."""
+    """Whether the client wants the connection kept open after the response."""
 
 
 @dataclass(slots=True)
 class HealthCheck:
-    """A request by which the front end asks whether the node can serve."""
+    """Request by which the front end checks whether the node can serve requests."""
 
     keep_alive: bool
 
 
 @dataclass(slots=True)
 class ErrorResponse:
-    """The response to bytes that are no valid request: it ends the connection."""
+    """Response to input that is not a valid request; the connection is closed after it."""
 
     status: int
     headers: bytes = b""
-    """Header lines beside the usual ones, each with its line end."""
+    """Additional header lines, each ending in CRLF."""
     keep_alive: bool = False
 
 
