--- a/load_balancer/proxy/request_validation.py
+++ b/load_balancer/proxy/request_validation.py
@@ -1,4 +1,4 @@
-"""Checks a parsed client request against the protocol and the node's configuration."""
+"""Validation of parsed client requests against the protocol and the node's configuration."""
 
 from __future__ import annotations
 
@@ -15,22 +15,24 @@
 from load_balancer.proxy.stable_id import stable_id
 
 HEALTH_PATH = b"/_health"
-# Segments of an absolute path: an empty one, the class, and others. The last one is the key.
+# Segments of "/class/.../key": an empty one, the request class, and any others, of which the last is the key.
 _CLASS_SEGMENT, _FIRST_KEY_SEGMENT = 1, 2
 _NO_KEY = 0
 
 
 @dataclass(slots=True, frozen=True)
 class _ClassRules:
-    """What the requests of a class have to look like."""
+    """Rules for the requests of one request class."""
 
     class_index: int
+    """Index of the request class in the settings."""
     method: bytes
+    """The only method allowed."""
     idempotency: Idempotency
 
 
 class RequestValidator:
-    """Turns parsed requests into ones that can be served."""
+    """Converts parsed requests to ``ClientRequest`` or ``HealthCheck``, and rejects invalid ones."""
 
     def __init__(self, config: Config) -> None:
         self._tenants = config.tenants
@@ -43,7 +45,13 @@
     def validate(
         self, method: bytes, url: bytes, headers: RequestHeaders, body: bytearray, keep_alive: bool
     ) -> ClientRequest | HealthCheck:
-        """Return the checked request. Raises InvalidRequestError with the status that says what is wrong."""
+        """Return the validated request.
+
+        For a POST request, Content-Length is appended to the forwarded lines of ``headers``.
+
+        Raises:
+            InvalidRequestError: The request is invalid; the error holds the status of the response.
+        """
         if url == HEALTH_PATH:
             if method != b"GET":
                 raise _method_not_allowed(b"GET")
@@ -71,8 +79,9 @@
         )
 
     def _rules_for(self, segments: list[bytes]) -> _ClassRules:
+        """Return the rules of the request class that the path names."""
         if segments[0] or len(segments) <= _CLASS_SEGMENT:
-            raise InvalidRequestError(HTTPStatus.BAD_REQUEST)  # no absolute path
+            raise InvalidRequestError(HTTPStatus.BAD_REQUEST)  # not an absolute path
         rules = self._rules.get(segments[_CLASS_SEGMENT])
         if rules is None:
             raise InvalidRequestError(HTTPStatus.NOT_FOUND)
@@ -84,7 +93,7 @@
 
 
 def _check_idempotency_key(headers: RequestHeaders, idempotency: Idempotency) -> None:
-    """Require a key for keyed classes, forbid it for not idempotent ones; idempotent ones may have one."""
+    """Raise unless there is a key for KEYED and none for NOT_IDEMPOTENT; IDEMPOTENT allows both."""
     if idempotency is Idempotency.IDEMPOTENT:
         return
     has_key = headers.idempotency_key is not None
@@ -93,6 +102,7 @@
 
 
 def _upstream_request(method: bytes, url: bytes, headers: RequestHeaders, body: bytearray) -> UpstreamRequest:
+    """Return the message to forward; only a POST request may have a body."""
     lines = headers.forwarded_lines
     if method == b"POST":
         lines.append(b"Content-Length: %d\r\n" % len(body))
