--- a/load_balancer/proxy/graceful_shutdown.py
+++ b/load_balancer/proxy/graceful_shutdown.py
@@ -30,12 +30,12 @@
         requests: The requests in flight. Those that still come get their answers before SIGKILL.
         longest_deadline: The longest deadline of any request class in ms.
     """
-    requests.answer_by = (
+    requests.latest_deadline = (
         now_ms() + min(longest_deadline, MAX_KILL_DEADLINE_MS) + KILL_DELAY_MS - KILL_MARGIN_MS
     )
     # Requests that arrived before the signal keep deadlines that may lie after that. Clients that have not
     # sent a complete request by then do not keep the node running.
-    end = requests.answer_by + KILL_MARGIN_MS + max(longest_deadline - MAX_KILL_DEADLINE_MS, 0.0)
+    end = requests.latest_deadline + KILL_MARGIN_MS + max(longest_deadline - MAX_KILL_DEADLINE_MS, 0.0)
     logger.info("shutting down: %d requests in flight", len(requests.pending))
     # A client whose connection is closed opens its next one at another node.
     listener.close_idle_connections()
--- a/load_balancer/proxy/request_tracker.py
+++ b/load_balancer/proxy/request_tracker.py
@@ -1,4 +1,4 @@
-"""The requests in flight: each is owed one final answer."""
+"""Requests in flight: each gets exactly one final response, unless its client disconnects first."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 from load_balancer.proxy.client_request import ClientRequest
 from load_balancer.proxy.messages import UpstreamRequest, UpstreamResponse
 
-# The final answer is due so long before the client gives up, for its way back and for a late event loop,
-# but at most this share of its timeout before: a client that waits for 40 ms would have no time left.
+# The final response is due this long before the client gives up, to leave time for its transmission and for
+# delays of the event loop, but at most this share of the timeout: 30 ms of 40 ms would leave too little.
 RESPONSE_MARGIN_MS = 30.0
 RESPONSE_MARGIN_SHARE = 0.1
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """Request that has no final response yet."""
 
     client: ClientConnection
     message: UpstreamRequest
     deadline: float
-    """Time in ms on the node's clock by which the final answer is due."""
+    """Time in ms on the node's clock by which the final response is due."""
     attempts: int = 0
-    """Attempts so far, which is also the number of the next one."""
+    """Number of attempts so far, which is also the number of the next one, counted from 0."""
 
 
 class RequestTracker:
-    """Registers requests, and writes the final answer of each once."""
+    """Registers requests and writes the final response to each of them once."""
 
     def __init__(self) -> None:
         self.pending: dict[int, PendingRequest] = {}
-        self.last_id = 0
-        self.answer_by = math.inf
-        """Time in ms by which requests that arrive from now on are answered, whatever their timeouts."""
+        self.last_request_id = 0
+        self.latest_deadline = math.inf
+        """Upper limit in ms, on the node's clock, of the deadlines of requests that arrive from now on."""
         self.counters: Counter[str] = Counter()
-        """Final answers to registered requests since the last report.
+        """Number of final responses to registered requests since the last report, by status.
 
-        The node adds attempts and disconnected clients. Answers to invalid requests are not counted.
+        The node adds attempts and disconnected clients. Responses to invalid requests are not counted.
         """
 
     def add(self, client: ClientConnection, request: ClientRequest) -> RequestArrived:
-        """Register a request under a new id; return the event that the policy gets."""
-        self.last_id += 1
-        request_id = client.request_id = self.last_id
+        """Register a request under a new id and return the event for the policy."""
+        self.last_request_id += 1
+        request_id = client.request_id = self.last_request_id
         margin = min(RESPONSE_MARGIN_MS, RESPONSE_MARGIN_SHARE * request.timeout)
-        deadline = min(request.received_at + request.timeout - margin, self.answer_by)
+        deadline = min(request.received_at + request.timeout - margin, self.latest_deadline)
         self.pending[request_id] = PendingRequest(client, request.message, deadline)
         return RequestArrived(
             request_id,
@@ -61,17 +61,20 @@
         )
 
     def remove(self, request_id: int) -> PendingRequest | None:
-        """End a request without an answer; return it if it was pending."""
+        """Remove a request without responding to it; returns it, or None if it was not pending."""
         return self.pending.pop(request_id, None)
 
     def answer(self, request_id: int, status: int, headers: bytes = b"") -> None:
-        """Answer a request with an empty body, if it is still pending."""
+        """Write a response with an empty body, if the request is still pending.
+
+        ``headers`` holds additional header lines, each ending in CRLF.
+        """
         pending = self.remove(request_id)
         if pending is not None:
             self.counters[f"responses {status}"] += 1
             pending.client.write_response(status, headers=headers)
 
     def forward_response(self, pending: PendingRequest, response: UpstreamResponse) -> None:
-        """Answer a request, which has been removed, with what an upstream answered."""
+        """Write the response of an upstream to a request that has been removed from the tracker."""
         self.counters[f"responses {response.status}"] += 1
         pending.client.write_response(response.status, response.body, response.content_type)
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -216,10 +216,10 @@
                 await asyncio.sleep(0)
             idle = harness.node.listener.connections.waiting(ConnectionState.IDLE)
             assert connection in idle  # until it reads, or for KEEP_ALIVE_TIMEOUT_S
-            last_id = harness.node.requests.last_id
+            last_id = harness.node.requests.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert harness.node.requests.last_id == last_id < 300
+            assert harness.node.requests.last_request_id == last_id < 300
             client.transport.resume_reading()
             for _ in range(300):
                 assert (await client.receive())[2] == big
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -140,7 +140,9 @@
             with connect_raw(harness) as client:
                 client.sendall(make_request())
             listener.resume_accepting()
-            await wait_until(lambda: harness.node.requests.last_id == 2 and len(listener.connections) == 1)
+            await wait_until(
+                lambda: harness.node.requests.last_request_id == 2 and len(listener.connections) == 1
+            )
             assert (
                 upstream.requests.empty()
                 and not harness.node.requests.pending
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -77,8 +77,8 @@
             client = await harness.connect()
             client.writer.write(make_request())
             await asyncio.wait_for(upstream.requests.get(), WAIT)
-            harness.node.requests.answer(harness.node.requests.last_id, 502)
-            harness.node.pool.cancel(harness.node.requests.last_id, 0)
+            harness.node.requests.answer(harness.node.requests.last_request_id, 502)
+            harness.node.pool.cancel(harness.node.requests.last_request_id, 0)
             assert (await client.receive())[0] == 502
             ended = await harness.next_attempt_end()
             assert ended.request_over and ended.result == AttemptResult.CANCELLED
--- a/tests/proxy/test_node_events.py
+++ b/tests/proxy/test_node_events.py
@@ -31,7 +31,7 @@
             policy.handle = failing_handle  # type: ignore[method-assign]
             assert (await client.exchange(make_request()))[0] == 500
             assert not policy._requests
-            harness.node.policy_runner.submit(TimerFired(harness.node.requests.last_id))
+            harness.node.policy_runner.submit(TimerFired(harness.node.requests.last_request_id))
             assert upstream.requests.empty() and not harness.node.pool.attempts
 
     run(test())
@@ -44,7 +44,7 @@
             client = await harness.connect()
             client.writer.write(make_request())
             await asyncio.wait_for(upstream.requests.get(), WAIT)
-            policy, pending_id = harness.node.policy, harness.node.requests.last_id
+            policy, pending_id = harness.node.policy, harness.node.requests.last_request_id
             handle = policy.handle
             commands: list[Command] = [SendAttempt(77, 1, 0.0), RejectRequest(pending_id, 0.0)]
             policy.handle = lambda now, event: commands  # type: ignore[method-assign]
