--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -57,8 +57,8 @@
 def test_request_late_in_a_graceful_shutdown_is_answered_before_the_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(graceful_shutdown, "KILL_DELAY_MS", 0.0)
-    monkeypatch.setattr(graceful_shutdown, "MAX_KILL_DEADLINE_MS", 2000.0)
+    monkeypatch.setattr(graceful_shutdown, "SIGKILL_DELAY_MS", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "SIGKILL_MAX_DEADLINE_MS", 2000.0)
 
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
