--- a/load_balancer/proxy/client_connection.py
+++ b/load_balancer/proxy/client_connection.py
@@ -266,7 +266,7 @@
         """Whether the node is willing to keep the connection; what it has read is answered first."""
         if self.queue or self.unparsed:
             return True
-        return not (self._handler.stopping or self._table.is_crowded)
+        return not (self._handler.stopping or self._table.has_many_idle)
 
     def _close_after_response(self) -> None:
         """Close the sending side only; the sweep closes the rest.
--- a/load_balancer/proxy/connection_table.py
+++ b/load_balancer/proxy/connection_table.py
@@ -1,4 +1,4 @@
-"""All client connections of a node, by what they wait for."""
+"""All client connections of a node, by state."""
 
 from __future__ import annotations
 
@@ -9,46 +9,53 @@
 if TYPE_CHECKING:
     from load_balancer.proxy.client_connection import ClientConnection
 
-_CROWDED_DIVISOR = 3  # crowded when one in so many of the connections allowed is idle
+_MANY_IDLE_DIVISOR = 3  # many idle connections: at least a third of the limit
 
 
 class ConnectionState(IntEnum):
     """What a client connection waits for; set by ``ConnectionTable.set_state`` only."""
 
     DISCONNECTED = 0
-    """Not connected yet, or not any more."""
+    """Not connected yet, or no longer."""
     CONNECTED = 1
-    """The first byte of its first request."""
+    """Waits for the first byte of its first request."""
     RECEIVING = 2
-    """The rest of a request."""
+    """Waits for the rest of a request."""
     SERVING = 3
-    """The response to a request that is being served."""
+    """Waits for the response to the request that is being served."""
     IDLE = 4
-    """The next request, or, while writing is paused, that the client reads its responses."""
+    """Waits for the next request or, while writing is paused, for the client to read its responses."""
     CLOSING = 5
-    """The client's close: the last response is written."""
+    """Waits for the client to close the connection, after the last response was written."""
 
 
-_CLIENT_STATES = (
+_WAITING_FOR_CLIENT = (
     ConnectionState.CONNECTED,
     ConnectionState.RECEIVING,
     ConnectionState.IDLE,
     ConnectionState.CLOSING,
 )
-"""States in which the client has to act."""
+"""States in which the client has to act next."""
 
 
 class ConnectionTable:
-    """The open connections, those among them that wait for their client, and the ids of their requests."""
+    """Open client connections by state, and the ids of their open requests.
+
+    Args:
+        limit: Maximum number of connections; enforced by the listener.
+        time: Clock in s.
+    """
 
     def __init__(self, limit: int, time: Callable[[], float]) -> None:
-        self.limit = limit  # connections
-        self.open_request_ids: set[bytes] = set()  # received and not answered
-        self.time = time  # in s
-        self._connections: set[ClientConnection] = set()  # until they are lost, also while they close
-        self._waiting: dict[ConnectionState, dict[ClientConnection, float]] = {
-            state: {} for state in _CLIENT_STATES
+        self.limit = limit
+        self.open_request_ids: set[bytes] = set()
+        """Request-Id values of the requests that were received and have no response yet."""
+        self.time = time
+        self._connections: set[ClientConnection] = set()  # including those that are closing
+        self._start_times: dict[ConnectionState, dict[ClientConnection, float]] = {
+            state: {} for state in _WAITING_FOR_CLIENT
         }
+        """For each state, its connections in the order of entering it, with the time in s since when."""
 
     def __len__(self) -> int:
         return len(self._connections)
@@ -64,39 +71,45 @@
         self._connections.add(connection)
 
     def discard(self, connection: ClientConnection) -> None:
-        """Stop counting a connection, which must be DISCONNECTED."""
+        """Stop counting a connection, whose state must be DISCONNECTED."""
         self._connections.discard(connection)
 
     def set_state(
         self, connection: ClientConnection, state: ConnectionState, since: float | None = None
     ) -> None:
-        """Move a connection to a state, in which it has been since that time (in s), or from now on.
+        """Set the state of a connection; does nothing if it is in that state already.
 
-        If it is in the state already, its time does not change.
+        Args:
+            connection: Connection whose state is set.
+            state: New state.
+            since: Time in s since when the connection is in the state; None for now.
         """
         if state is connection.state:
             return
-        waiting = self._waiting.get(connection.state)
-        if waiting is not None:
-            del waiting[connection]
+        start_times = self._start_times.get(connection.state)
+        if start_times is not None:
+            del start_times[connection]
         connection.state = state
-        waiting = self._waiting.get(state)
-        if waiting is not None:
-            waiting[connection] = self.time() if since is None else since
+        start_times = self._start_times.get(state)
+        if start_times is not None:
+            start_times[connection] = self.time() if since is None else since
+
+    def in_state(self, state: ConnectionState) -> Mapping[ClientConnection, float]:
+        """Return the connections in a state, in the order of entering it, with the time in s since when.
 
-    def waiting(self, state: ConnectionState) -> Mapping[ClientConnection, float]:
-        """Return the connections that wait in this state and since when, in the order of arrival in it."""
-        return self._waiting[state]
+        The state must be one in which the client has to act next.
+        """
+        return self._start_times[state]
 
-    def waiting_longer(self, state: ConnectionState, limit: float) -> list[ClientConnection]:
-        """Return the connections that have waited in this state for more than ``limit`` s."""
-        before = self.time() - limit
-        return [connection for connection, since in self._waiting[state].items() if since < before]
+    def in_state_longer_than(self, state: ConnectionState, age: float) -> list[ClientConnection]:
+        """Return the connections that have been in a state for more than ``age`` s."""
+        before = self.time() - age
+        return [connection for connection, since in self._start_times[state].items() if since < before]
 
     @property
-    def is_crowded(self) -> bool:
+    def has_many_idle(self) -> bool:
         """Whether so many connections are idle that others should be closed after their response.
 
-        Clients that send a single request and keep their connection would leave none to the others.
+        Clients that send one request and keep the connection open would otherwise use up the limit.
         """
-        return len(self._waiting[ConnectionState.IDLE]) >= self.limit // _CROWDED_DIVISOR
+        return len(self._start_times[ConnectionState.IDLE]) >= self.limit // _MANY_IDLE_DIVISOR
--- a/load_balancer/proxy/eviction.py
+++ b/load_balancer/proxy/eviction.py
@@ -43,17 +43,17 @@
         """Return the connection that is needed least, or None if each is in use or too new."""
         # A connection that was idle only briefly is likely to be used again: it is the last choice.
         return (
-            self._longest_waiting(ConnectionState.CONNECTED, NEW_CONNECTION_GRACE_S)
-            or self._longest_waiting(ConnectionState.CLOSING, NEW_CONNECTION_GRACE_S)
-            or self._longest_waiting(ConnectionState.IDLE, UNUSED_IDLE_AGE_S)
-            or self._longest_waiting(ConnectionState.RECEIVING, SLOW_REQUEST_AGE_S)
-            or self._longest_waiting(ConnectionState.IDLE, 0.0)
+            self._longest_in_state(ConnectionState.CONNECTED, NEW_CONNECTION_GRACE_S)
+            or self._longest_in_state(ConnectionState.CLOSING, NEW_CONNECTION_GRACE_S)
+            or self._longest_in_state(ConnectionState.IDLE, UNUSED_IDLE_AGE_S)
+            or self._longest_in_state(ConnectionState.RECEIVING, SLOW_REQUEST_AGE_S)
+            or self._longest_in_state(ConnectionState.IDLE, 0.0)
         )
 
-    def _longest_waiting(self, state: ConnectionState, min_age: float) -> ClientConnection | None:
+    def _longest_in_state(self, state: ConnectionState, min_age: float) -> ClientConnection | None:
         """Return the connection that has been longest in a state, for at least ``min_age`` s, or None."""
         now = self._table.time()
-        for connection, since in self._table.waiting(state).items():
+        for connection, since in self._table.in_state(state).items():
             if now - since < min_age:
                 return None
             if _can_be_evicted(connection):
--- a/load_balancer/proxy/listener.py
+++ b/load_balancer/proxy/listener.py
@@ -85,8 +85,8 @@
 
     def close_idle_connections(self) -> None:
         """Close connections without a request, except those whose client may be sending one."""
-        unused = self.connections.waiting_longer(ConnectionState.CONNECTED, NEW_CONNECTION_GRACE_S)
-        for connection in [*unused, *self.connections.waiting(ConnectionState.IDLE)]:
+        unused = self.connections.in_state_longer_than(ConnectionState.CONNECTED, NEW_CONNECTION_GRACE_S)
+        for connection in [*unused, *self.connections.in_state(ConnectionState.IDLE)]:
             if not connection.has_unread_data():
                 connection.transport.close()
 
@@ -160,7 +160,7 @@
         self._abort_expired()
 
     def _time_out_requests(self) -> None:
-        for connection in self.connections.waiting_longer(ConnectionState.RECEIVING, REQUEST_TIMEOUT_S):
+        for connection in self.connections.in_state_longer_than(ConnectionState.RECEIVING, REQUEST_TIMEOUT_S):
             connection.reject_input(ErrorResponse(HTTPStatus.REQUEST_TIMEOUT))
             connection.serve_queue()
 
@@ -174,13 +174,13 @@
             connection.transport.abort()
 
     def _expired(self) -> list[ClientConnection]:
-        waiting_longer = self.connections.waiting_longer
-        lingering = waiting_longer(ConnectionState.CLOSING, LINGER_TIMEOUT_S)
-        idle = waiting_longer(ConnectionState.IDLE, KEEP_ALIVE_TIMEOUT_S)
+        in_state_longer_than = self.connections.in_state_longer_than
+        lingering = in_state_longer_than(ConnectionState.CLOSING, LINGER_TIMEOUT_S)
+        idle = in_state_longer_than(ConnectionState.IDLE, KEEP_ALIVE_TIMEOUT_S)
         return [
             # A client that has not read its last response yet gets the longer timeout below.
             *(c for c in lingering if not c.transport.get_write_buffer_size()),
             *(c for c in idle if c.write_paused or not c.has_unread_data()),
-            *waiting_longer(ConnectionState.CONNECTED, REQUEST_TIMEOUT_S),
-            *waiting_longer(ConnectionState.CLOSING, KEEP_ALIVE_TIMEOUT_S),
+            *in_state_longer_than(ConnectionState.CONNECTED, REQUEST_TIMEOUT_S),
+            *in_state_longer_than(ConnectionState.CLOSING, KEEP_ALIVE_TIMEOUT_S),
         ]
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -214,7 +214,7 @@
             (connection,) = [c async for c in harness.connections(1)]
             while not connection.write_paused:
                 await asyncio.sleep(0)
-            idle = harness.node.listener.connections.waiting(ConnectionState.IDLE)
+            idle = harness.node.listener.connections.in_state(ConnectionState.IDLE)
             assert connection in idle  # until it reads, or for KEEP_ALIVE_TIMEOUT_S
             last_id = harness.node.requests.last_request_id
             for _ in range(50):
--- a/tests/proxy/test_eviction.py
+++ b/tests/proxy/test_eviction.py
@@ -38,7 +38,7 @@
             table = harness.node.listener.connections
             limit = table.limit
             silent = [await harness.connect() for _ in range(limit - 1)]
-            while len(table.waiting(ConnectionState.CONNECTED)) < limit - 1:
+            while len(table.in_state(ConnectionState.CONNECTED)) < limit - 1:
                 await asyncio.sleep(0)
             newest = await harness.connect()
             assert (await newest.exchange(make_request()))[0] == 200
@@ -60,7 +60,7 @@
             slow = [await harness.connect() for _ in range(limit)]
             for client in slow:
                 client.writer.write(b"GET /find/1 HTTP/1.1\r\n")
-            while len(table.waiting(ConnectionState.RECEIVING)) < limit:
+            while len(table.in_state(ConnectionState.RECEIVING)) < limit:
                 await asyncio.sleep(0)
             assert (await (await harness.connect()).exchange(make_request()))[0] == 200
             assert len(harness.node.listener.connections) <= limit
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -88,8 +88,8 @@
             incomplete.writer.write(make_request()[:-2])
             listener, table = harness.node.listener, harness.node.listener.connections
             while (
-                len(table.waiting(ConnectionState.CONNECTED)) != 2
-                or len(table.waiting(ConnectionState.RECEIVING)) != 1
+                len(table.in_state(ConnectionState.CONNECTED)) != 2
+                or len(table.in_state(ConnectionState.RECEIVING)) != 1
             ):
                 await asyncio.sleep(0)
             monkeypatch.setattr(listener_module, "REQUEST_TIMEOUT_S", 0.0)
@@ -97,8 +97,8 @@
             assert await silent.read_to_end() == b"" and await blank.read_to_end() == b""
             assert (await incomplete.receive())[0] == 408
             assert await incomplete.read_to_end() == b""
-            assert not table.waiting(ConnectionState.CONNECTED)
-            assert not table.waiting(ConnectionState.RECEIVING)
+            assert not table.in_state(ConnectionState.CONNECTED)
+            assert not table.in_state(ConnectionState.RECEIVING)
 
     run(test())
 
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -66,7 +66,7 @@
             client, data = await harness.connect(), make_request("pay", timeout="8000m")
             client.writer.write(data[:40])
             await wait_until(
-                lambda: bool(harness.node.listener.connections.waiting(ConnectionState.RECEIVING))
+                lambda: bool(harness.node.listener.connections.in_state(ConnectionState.RECEIVING))
             )
             shutdown = asyncio.ensure_future(harness.node.shut_down())
             await wait_until(lambda: harness.node.stopping)
@@ -91,7 +91,7 @@
             client, data = await harness.connect(), make_request("pay", timeout="2000m")
             client.writer.write(data[:40])
             await wait_until(
-                lambda: bool(harness.node.listener.connections.waiting(ConnectionState.RECEIVING))
+                lambda: bool(harness.node.listener.connections.in_state(ConnectionState.RECEIVING))
             )
             shutdown = asyncio.ensure_future(harness.node.shut_down())
             await asyncio.sleep(1.0)  # half of the shutdown is left, and the request takes longer
