--- a/load_balancer/proxy/eviction.py
+++ b/load_balancer/proxy/eviction.py
@@ -1,47 +1,47 @@
-"""Which connection gives way to a new client when the node has as many as it may hold."""
+"""Eviction of client connections: which one is closed for a new client when the limit is reached."""
 
 from __future__ import annotations
 
 from load_balancer.proxy.client_connection import ClientConnection
 from load_balancer.proxy.connection_table import ConnectionState, ConnectionTable
 
-NEW_CONNECTION_GRACE_S = 0.05  # s in which a new client's first bytes are sure to be read
-SLOW_REQUEST_AGE_S = 0.3  # s in which a request arrives unless its client is slow or never completes it
-UNUSED_IDLE_AGE_S = 2.0  # s idle after which the client has hardly any use for the connection
+NEW_CONNECTION_GRACE_S = 0.05  # by then, the first bytes of a new client have been read
+SLOW_REQUEST_AGE_S = 0.3  # by then, a request is complete unless its client is slow or never completes it
+UNUSED_IDLE_AGE_S = 2.0  # by then, an idle connection is unlikely to be used again
 
 _MAY_HAVE_UNREAD_REQUEST = frozenset({ConnectionState.CONNECTED, ConnectionState.IDLE})
 
 
 class ConnectionEvictor:
-    """Closes connections that no request needs, one at a time."""
+    """Aborts connections that have no complete request in flight, one at a time."""
 
     def __init__(self, table: ConnectionTable) -> None:
         self._table = table
-        self._evicted: ClientConnection | None = None  # the last one, until it is lost
+        self._being_evicted: ClientConnection | None = None  # aborted and not lost yet
 
     def evict(self) -> bool:
-        """Abort a connection if one can be spared; returns whether there will be room for a new one.
+        """Abort a connection if possible; returns whether there will be room for a new one.
 
-        There is room once the aborted connection is lost, in the loop's next turn; until then no further one
-        is evicted.
+        There is room once the aborted connection is lost, in the next iteration of the event loop. No other
+        connection is evicted until then.
         """
-        if self._evicted in self._table:
+        if self._being_evicted in self._table:
             return True
-        candidate = self._candidate()
+        candidate = self._find_candidate()
         if candidate is None:
             return False
         candidate.transport.abort()
-        self._evicted = candidate
+        self._being_evicted = candidate
         return True
 
     def on_connection_lost(self, connection: ClientConnection) -> None:
-        """Allow the next eviction if this was the evicted connection."""
-        if connection is self._evicted:
-            self._evicted = None
+        """Allow the next eviction if this connection was being evicted."""
+        if connection is self._being_evicted:
+            self._being_evicted = None
 
-    def _candidate(self) -> ClientConnection | None:
-        """Return the connection that is needed least, or None if each is in use or too new."""
-        # A connection that was idle only briefly is likely to be used again: it is the last choice.
+    def _find_candidate(self) -> ClientConnection | None:
+        """Return the connection that is needed least, or None if all are in use or too new."""
+        # A connection that became idle recently comes last, since it is likely to be used again.
         return (
             self._longest_in_state(ConnectionState.CONNECTED, NEW_CONNECTION_GRACE_S)
             or self._longest_in_state(ConnectionState.CLOSING, NEW_CONNECTION_GRACE_S)
@@ -51,18 +51,21 @@
         )
 
     def _longest_in_state(self, state: ConnectionState, min_age: float) -> ClientConnection | None:
-        """Return the connection that has been longest in a state, for at least ``min_age`` s, or None."""
+        """Return the connection that entered a state first and can be evicted, or None.
+
+        Returns None also if a connection before it has been in the state for less than ``min_age`` s.
+        """
         now = self._table.time()
         for connection, since in self._table.in_state(state).items():
             if now - since < min_age:
                 return None
-            if _can_be_evicted(connection):
+            if _is_evictable(connection):
                 return connection
         return None
 
 
-def _can_be_evicted(connection: ClientConnection) -> bool:
-    """Whether an abort loses neither a response that is being written nor a request that is unread."""
+def _is_evictable(connection: ClientConnection) -> bool:
+    """Whether an abort would lose neither unsent parts of a response nor an unread request."""
     transport = connection.transport
     if transport.is_closing() or transport.get_write_buffer_size():
         return False
