--- a/load_balancer/proxy/client_connection.py
+++ b/load_balancer/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: queues its requests, serves them one at a time and writes the responses."""
+"""Client connection: queues requests, serves them one at a time and writes the responses."""
 
 from __future__ import annotations
 
@@ -16,32 +16,40 @@
 from load_balancer.proxy.request_parser import RequestParser
 from load_balancer.proxy.request_validation import RequestValidator
 
-MAX_QUEUED_REQUESTS = 8  # pipelined requests on one connection, after which reading pauses
-PARSE_CHUNK = 4096  # bytes parsed at a time: a single read may hold hundreds of requests
+MAX_QUEUED_REQUESTS = 8  # pipelined requests per connection, at which parsing and reading pause
+PARSE_CHUNK_SIZE = 4096  # bytes parsed at a time, since a single read may hold hundreds of requests
 
 
 class RequestHandler(Protocol):
-    """What serves the requests."""
+    """Serves the requests of client connections."""
 
-    healthy: bool  # whether health checks succeed
-    stopping: bool  # during graceful shutdown: connections are closed after their last response
+    healthy: bool
+    """Whether health checks succeed."""
+    stopping: bool
+    """Whether the node is shutting down: health checks fail, connections close after their last response."""
 
     def on_request(self, connection: ClientConnection, request: ClientRequest) -> None:
         """Set ``connection.request_id`` and serve the request.
 
-        ``connection.write_response`` must be called once, in this call or later, unless the client
+        The handler must call ``connection.write_response`` once, during this call or later, unless the client
         disconnects before.
         """
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """Cancel a request; it gets no response any more."""
+        """Cancel a request, to which no response can be written any more."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection of a client, from its accept until it is lost.
+    """Accepted connection of a client, until it is lost.
 
-    Complete requests wait in ``queue``; one at a time is served, and its response is written before the next
-    one starts.
+    Complete requests wait in ``queue``. They are served one at a time: the response to a request is written
+    before the next request is passed to the handler.
+
+    Args:
+        table: Table of all client connections.
+        validator: Validator of parsed requests.
+        handler: Handler of valid requests.
+        on_lost: Called when the connection is lost.
     """
 
     transport: asyncio.Transport
@@ -55,29 +63,32 @@
         on_lost: Callable[[ClientConnection], None],
     ) -> None:
         self.state = ConnectionState.DISCONNECTED
-        self.request_id = 0  # number of the request in flight, set by the handler; 0: none
+        self.request_id = 0
+        """Id of the request in flight, set by the handler; 0 if there is none."""
         self.queue: deque[QueuedItem] = deque()
-        self.unparsed = b""  # read while the queue was full
+        self.unparsed = b""
+        """Data received while the queue was full."""
         self.read_paused = False
-        self.write_paused = False  # the client does not read its responses
+        self.write_paused = False
+        """Whether the write buffer is full because the client does not read its responses."""
         self._table = table
         self._validator = validator
         self._handler = handler
         self._on_lost = on_lost
-        self._request: ClientRequest | None = None  # in flight
-        self._serving = False  # a request of any kind has no response yet
-        self._keep_alive = True  # after the response to it
+        self._request_in_flight: ClientRequest | None = None
+        self._response_pending = False  # to a request, a health check or an invalid request
+        self._keep_alive = True  # whether the client wants the connection kept open after the response
         self._in_serve_loop = False
-        self._input_closed = False  # nothing further is parsed
-        self._receiving = False  # a request has arrived in part
-        self._has_received_request = False  # at least one complete request
-        self._request_started_at = 0.0  # s, loop time; for the first request: time of the connect
+        self._input_closed = False  # further input is discarded
+        self._request_incomplete = False  # a part of a request has been received
+        self._has_received_request = False  # complete ones only
+        self._request_started_at = 0.0  # s on the loop's clock; for the first request, time of the connect
 
     # Connection events.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set up the connection; it waits for its first request."""
-        # Not isinstance: uvloop's transports do not derive from asyncio's. They come with TCP_NODELAY set.
+        """Initialize the parser and the state; the connection waits for its first request."""
+        # A cast, since uvloop's transports are not subclasses of asyncio's. They set TCP_NODELAY themselves.
         self.transport = cast(asyncio.Transport, transport)
         self._parser = RequestParser(self._validator, self)
         self._file_descriptor = transport.get_extra_info("socket").fileno()
@@ -87,28 +98,28 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Drop queued requests and notify the handler if one is in flight."""
         self._input_closed = True
-        # The parser refers back to this connection: both would wait for the cyclic garbage collector.
+        # Breaks the reference cycle with the parser, which only the garbage collector would free.
         self._parser.close()
         del self._parser
         self._table.set_state(self, ConnectionState.DISCONNECTED)
         self._on_lost(self)
         self._drop_queue()
-        self._release_request_id(self._request)
+        self._release_request_id(self._request_in_flight)
         if self.request_id:
             request_id, self.request_id = self.request_id, 0
             self._handler.on_client_disconnected(request_id)
 
     def pause_writing(self) -> None:
-        """Serve no further requests: the client does not read the responses that it has."""
+        """Stop serving requests: the write buffer is full because the client does not read its responses."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Continue after ``pause_writing``."""
+        """Resume serving requests after ``pause_writing``."""
         self.write_paused = False
         self.serve_queue()
 
     def data_received(self, data: bytes) -> None:
-        """Parse received bytes and serve the requests that are complete."""
+        """Parse received data and serve the requests that are complete."""
         if self._input_closed:
             return
         if self.unparsed:
@@ -118,14 +129,18 @@
         self.serve_queue()
 
     def is_disconnected(self) -> bool:
-        """Whether the client has closed its side.
+        """Whether the client has closed its side of the connection.
 
-        While reading is paused, or before the loop reads, only the socket shows it, also behind unread bytes.
+        The socket is polled because the event loop does not detect a close while reading is paused, nor
+        before it has read the data that was sent before the close.
         """
         return self.transport.is_closing() or self._poll_socket(select.POLLRDHUP)
 
     def has_unread_data(self) -> bool:
-        """Whether bytes wait in the socket: a close would lose a request that the loop has not read yet."""
+        """Whether the socket has data that the event loop has not read.
+
+        Closing the connection would lose a request in it.
+        """
         return not self.transport.is_closing() and self._poll_socket(select.POLLIN)
 
     def _poll_socket(self, event_mask: int) -> bool:
@@ -136,27 +151,29 @@
     # Requests.
 
     def reject_input(self, response: ErrorResponse) -> None:
-        """Queue a final error response and parse nothing more: where a next request begins is unknown."""
+        """Queue an error response and discard further input, as the start of the next request is unknown."""
         self._input_closed = True
-        self._receiving = False
+        self._request_incomplete = False
         self._parser.reset()
         self.queue.append(response)
 
     def on_request_started(self) -> None:
-        """Start the time limit of a request; that of the first one started with the connection."""
-        self._receiving = True
+        """Start the timeout of a request; that of the first request started with the connection."""
+        self._request_incomplete = True
         if self._has_received_request:
             self._request_started_at = self._table.time()
 
     def on_continue_expected(self) -> None:
-        """Write the interim response, unless responses to earlier requests are due first."""
-        if not self._serving and not self.queue:
+        """Write a 100 Continue response, unless responses to earlier requests have to be written first."""
+        if not self._response_pending and not self.queue:
             self.transport.write(CONTINUE_RESPONSE)
 
     def on_request_received(self, request: ClientRequest | HealthCheck) -> None:
-        """Queue a request. Raises InvalidRequestError if one with the same id is in flight.
+        """Queue a request.
 
-        Endpoints could not tell the two apart.
+        Raises:
+            InvalidRequestError: A request with the same Request-Id is open, on any connection; endpoints
+                could not tell the two apart.
         """
         if isinstance(request, ClientRequest):
             open_request_ids = self._table.open_request_ids
@@ -165,19 +182,19 @@
             open_request_ids.add(request.client_request_id)
         self.queue.append(request)
         self._has_received_request = True
-        self._receiving = False
+        self._request_incomplete = False
 
     def on_upgrade_requested(self) -> None:
-        """Serve the request normally, and close the connection after it: no upgrade is offered."""
+        """Serve the request normally and close the connection after it: upgrades are not supported."""
         self._input_closed = True
         if self.queue:
             self.queue[-1].keep_alive = False
 
     def _parse(self, data: bytes) -> None:
-        """Parse until the queue is full; the rest is kept and reading pauses until there is room again."""
+        """Parse data until the queue is full; keep the rest and pause reading until there is room again."""
         parsed = 0  # bytes
         while parsed < len(data) and not self._input_closed and len(self.queue) < MAX_QUEUED_REQUESTS:
-            chunk = data[parsed : parsed + PARSE_CHUNK] if len(data) > PARSE_CHUNK else data
+            chunk = data[parsed : parsed + PARSE_CHUNK_SIZE] if len(data) > PARSE_CHUNK_SIZE else data
             parsed += len(chunk)
             error = self._parser.feed(chunk)
             if error is not None:
@@ -195,13 +212,13 @@
             self.transport.resume_reading()
 
     def serve_queue(self) -> None:
-        """Serve queued requests until one has to wait for its response or the client has to act."""
-        # A handler may respond at once, which calls this method again: the outer loop continues instead, so
-        # that many responses in a row do not nest.
+        """Serve queued requests until one waits for its response or the client has to act."""
+        # A handler may respond immediately, which calls this method again. That call returns at once and the
+        # loop below continues, so that many responses in a row do not recurse.
         if self._in_serve_loop:
             return
         self._in_serve_loop = True
-        while not self._serving and not self.write_paused:
+        while not self._response_pending and not self.write_paused:
             if not self.queue and self.unparsed:
                 unparsed, self.unparsed = self.unparsed, b""
                 self._parse(unparsed)
@@ -213,10 +230,10 @@
 
     def _serve(self, request: QueuedItem) -> None:
         self._keep_alive = request.keep_alive
-        self._serving = True
+        self._response_pending = True
         self._table.set_state(self, ConnectionState.SERVING)
         if isinstance(request, ClientRequest):
-            self._request = request
+            self._request_in_flight = request
             self._handler.on_request(self, request)
         elif isinstance(request, ErrorResponse):
             self.write_response(request.status, headers=request.headers)
@@ -227,13 +244,13 @@
 
     def _update_state(self) -> None:
         table = self._table
-        if self._serving:
+        if self._response_pending:
             table.set_state(self, ConnectionState.SERVING)
         elif self._input_closed and not self.queue:
             table.set_state(self, ConnectionState.CLOSING)
-        elif self.write_paused or (self._has_received_request and not self._receiving):
+        elif self.write_paused or (self._has_received_request and not self._request_incomplete):
             table.set_state(self, ConnectionState.IDLE)
-        elif self._receiving:
+        elif self._request_incomplete:
             table.set_state(self, ConnectionState.RECEIVING, self._request_started_at)
 
     def _release_request_id(self, request: QueuedItem | None) -> None:
@@ -251,27 +268,34 @@
     def write_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", headers: bytes = b""
     ) -> None:
-        """Write the final response to the request in flight, and serve the next one."""
+        """Write the final response to the current request, and serve the next one.
+
+        Args:
+            status: Status code.
+            body: Response body.
+            content_type: Value of the Content-Type header; empty to omit the header.
+            headers: Additional header lines, each ending in CRLF.
+        """
         self.request_id = 0
-        self._release_request_id(self._request)
-        self._request = None
+        self._release_request_id(self._request_in_flight)
+        self._request_in_flight = None
         keep_alive = self._keep_alive and self._may_keep_alive()
         self.transport.write(encode_response(status, body, content_type, headers, keep_alive))
-        self._serving = False
+        self._response_pending = False
         if not keep_alive:
             self._close_after_response()
         self.serve_queue()
 
     def _may_keep_alive(self) -> bool:
-        """Whether the node is willing to keep the connection; what it has read is answered first."""
+        """Whether the node keeps the connection open; requests that it has read are served first."""
         if self.queue or self.unparsed:
             return True
         return not (self._handler.stopping or self._table.has_many_idle)
 
     def _close_after_response(self) -> None:
-        """Close the sending side only; the sweep closes the rest.
+        """Close the sending side only; the listener's sweep closes the connection later.
 
-        A full close with unread bytes would reset the connection, and the client could lose the response.
+        Closing it now would reset it if there is unread data, and the client could lose the response.
         """
         self._input_closed = True
         self._drop_queue()
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -11,7 +11,7 @@
 
 from load_balancer.policy.events import EndpointUpdate, RequestCancelled
 from load_balancer.proxy import listener as listener_module
-from load_balancer.proxy.client_connection import MAX_QUEUED_REQUESTS, PARSE_CHUNK
+from load_balancer.proxy.client_connection import MAX_QUEUED_REQUESTS, PARSE_CHUNK_SIZE
 from load_balancer.proxy.connection_table import ConnectionState
 from load_balancer.proxy.stable_id import stable_id
 from tests.proxy.harness import run, running_node
@@ -155,7 +155,7 @@
             await asyncio.wait_for(peer.requests.get(), WAIT)
             table = harness.node.listener.connections
             (connection,) = table
-            assert len(table.open_request_ids) <= MAX_QUEUED_REQUESTS + PARSE_CHUNK // 100
+            assert len(table.open_request_ids) <= MAX_QUEUED_REQUESTS + PARSE_CHUNK_SIZE // 100
             release.set()
             for _ in range(400):
                 assert (await client.receive())[0] == 200
