--- a/load_balancer/proxy/__init__.py
+++ b/load_balancer/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The node: a load-balancing HTTP proxy on sockets, around the decisions of load_balancer.policy."""
+"""Load-balancing HTTP proxy node: network I/O and HTTP, around the decisions of ``load_balancer.policy``."""
