--- a/load_balancer/proxy/__main__.py
+++ b/load_balancer/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the node: reads the configuration, connects the signals, and serves until SIGTERM."""
+"""Entry point of the node: reads the configuration, installs signal handlers and serves until SIGTERM."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def configure_logging() -> None:
-    """Log to standard error from INFO on, with a rate limit for warnings."""
+    """Log to standard error at level INFO, with a rate limit for warnings."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger().handlers[0].addFilter(LogRateLimit())
 
@@ -38,15 +38,15 @@
     node = Node(config, loop)
     loop.add_signal_handler(signal.SIGHUP, node.reload, os.environ)
     gc.collect()
-    gc.freeze()  # the objects of the start are permanent: the collector need not traverse them again
+    gc.freeze()  # startup objects live as long as the process: later collections skip them
     node.start()
     await shutdown_requested.wait()
     await node.shut_down()
 
 
 def main() -> int:
-    """Run the program and return its exit status."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a node that can reload its configuration
+    """Run the node; returns the exit status of the process."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until a node can reload its configuration
     configure_logging()
     try:
         config = read_config(os.environ)
