--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -11,7 +11,7 @@
 
 from load_balancer.policy.events import EndpointUpdate, RequestCancelled
 from load_balancer.proxy import listener as listener_module
-from load_balancer.proxy.client_connection import MAX_QUEUED_REQUESTS, PARSE_CHUNK
+from load_balancer.proxy.client_connection import MAX_QUEUED_REQUESTS, PARSE_CHUNK_SIZE
 from load_balancer.proxy.connection_table import ConnectionState
 from load_balancer.proxy.stable_id import stable_id
 from tests.proxy.harness import run, running_node
@@ -155,7 +155,7 @@
             await asyncio.wait_for(peer.requests.get(), WAIT)
             table = harness.node.listener.connections
             (connection,) = table
-            assert len(table.open_request_ids) <= MAX_QUEUED_REQUESTS + PARSE_CHUNK // 100
+            assert len(table.open_request_ids) <= MAX_QUEUED_REQUESTS + PARSE_CHUNK_SIZE // 100
             release.set()
             for _ in range(400):
                 assert (await client.receive())[0] == 200
@@ -214,12 +214,12 @@
             (connection,) = [c async for c in harness.connections(1)]
             while not connection.write_paused:
                 await asyncio.sleep(0)
-            idle = harness.node.listener.connections.waiting(ConnectionState.IDLE)
+            idle = harness.node.listener.connections.in_state(ConnectionState.IDLE)
             assert connection in idle  # until it reads, or for KEEP_ALIVE_TIMEOUT_S
-            last_id = harness.node.requests.last_id
+            last_id = harness.node.requests.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert harness.node.requests.last_id == last_id < 300
+            assert harness.node.requests.last_request_id == last_id < 300
             client.transport.resume_reading()
             for _ in range(300):
                 assert (await client.receive())[2] == big
