--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -72,7 +72,7 @@
             assert harness.node.healthy and harness.endpoint_ids() == {stable_id(b"s-1")}
 
     run(test())
-    assert ": TimeoutError; the endpoint list in force is kept" in caplog.text
+    assert ": TimeoutError; keeping the current endpoint list" in caplog.text
 
 
 @pytest.mark.parametrize("cached", [True, False], ids=["watch", "snapshot"])
@@ -257,4 +257,4 @@
     run(test())
     assert caplog.text.count("version 8 is older than 9") == 1
     assert caplog.text.count("update rejected: version 1 is older than 9") == 1
-    assert "discovery restarted its count: version 1 accepted after 9" in caplog.text
+    assert "discovery restarted its version numbers: version 1 accepted after 9" in caplog.text
