--- a/load_balancer/proxy/discovery_client.py
+++ b/load_balancer/proxy/discovery_client.py
@@ -13,7 +13,7 @@
 from load_balancer.proxy.backoff import Backoff
 from load_balancer.proxy.clock import now_ms
 from load_balancer.proxy.config import NOTIFIED_AFTER_S
-from load_balancer.proxy.discovery_response import ResponseTimeouts, get
+from load_balancer.proxy.discovery_response import ResponseTimeouts, open_response
 from load_balancer.proxy.endpoint_decoder import DiscoveryUpdate, UpdateDecoder
 from load_balancer.proxy.errors import DiscoveryError, EndpointListError, StaleVersionError, WatchEndedError
 
@@ -155,7 +155,7 @@
         timeouts = ResponseTimeouts(
             CONNECT_TIMEOUT_S, FIRST_BYTE_TIMEOUT_S, SNAPSHOT_READ_TIMEOUT_S, SNAPSHOT_TIMEOUT_S
         )
-        async with get(self.address, MEMBERS_PATH, timeouts) as response:
+        async with open_response(self.address, MEMBERS_PATH, timeouts) as response:
             decoder = self._new_decoder()
             while not response.is_complete:
                 decoder.feed(await response.read())
@@ -168,7 +168,7 @@
             CONNECT_TIMEOUT_S, FIRST_BYTE_TIMEOUT_S, WATCH_IDLE_TIMEOUT_S, WATCH_IDLE_TIMEOUT_S
         )
         path = f"{MEMBERS_PATH}?watch=1&from={self.version}"
-        async with get(self.address, path, timeouts) as response:
+        async with open_response(self.address, path, timeouts) as response:
             opened_at = asyncio.get_running_loop().time()
             decoder = self._new_decoder()
             while not response.is_complete:
--- a/load_balancer/proxy/discovery_response.py
+++ b/load_balancer/proxy/discovery_response.py
@@ -1,4 +1,4 @@
-"""One HTTP call to discovery, whose response is read in pieces."""
+"""HTTP GET requests to discovery, whose responses are read in pieces."""
 
 from __future__ import annotations
 
@@ -12,52 +12,53 @@
 from load_balancer.proxy.address import Address
 from load_balancer.proxy.errors import ConnectionEndedError, ResponseStatusError
 
-READ_SIZE = 8192  # bytes, read and decoded before other tasks run: some ms at most
-MIN_TRANSFER_RATE = 1 << 20  # bytes/s; a message that arrives as fast may take longer than its timeout
+READ_SIZE = 8192  # bytes; decoding them takes some ms at most, during which no other task runs
+MIN_TRANSFER_RATE = 1 << 20  # bytes/s; a message that arrives at this rate may exceed its time limit
 _STATUS_OK = 200
-_STATUS_UNKNOWN = 0  # of a parser that has not read the status line
+_STATUS_UNKNOWN = 0  # the parser has not read the status line yet
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseTimeouts:
-    """Time limits of one call, in s."""
+    """Time limits of a request to discovery, in s."""
 
     connect: float
+    """To establish the connection."""
     first_byte: float
     """From the request to the first bytes of the response."""
     read: float
-    """For each further read."""
+    """For each read after the first."""
     message: float
-    """For one message, however it trickles in: a snapshot, or a line of a watch."""
+    """For a whole message (a snapshot or a line of a watch), plus its transfer time at MIN_TRANSFER_RATE."""
 
 
 class DiscoveryResponse:
-    """The response to one request. Its body holds one or more messages, each with a time limit of its own."""
+    """A response whose body holds one or more messages, each with its own time limit."""
 
     def __init__(self, reader: asyncio.StreamReader, timeouts: ResponseTimeouts) -> None:
         self.is_complete = False
         self._reader = reader
         self._timeouts = timeouts
         self._parser = httptools.HttpResponseParser(self)
-        self._body = bytearray()  # parsed and not yet returned
-        self._received = 0  # bytes of body
+        self._body = bytearray()  # received, and not yet returned by read
+        self._received_bytes = 0  # of the body
         self._clock = asyncio.get_running_loop().time
         self._next_read_timeout = timeouts.first_byte
         self.start_message()
 
     def start_message(self) -> None:
-        """Give the next message its time, from now on."""
+        """Start the time limit of the next message."""
         self._message_started_at = self._clock()
-        self._message_offset = self._received
+        self._message_offset = self._received_bytes
 
     async def read(self) -> bytes:
-        """Read on, and return the bytes of the body that came; there may be none.
+        """Read more of the response and return the part that belongs to the body, which may be empty.
 
         Raises:
-            TimeoutError: Nothing came in time, or the message takes too long.
-            ConnectionEndedError: The connection ended.
+            TimeoutError: No data arrived in time, or the message exceeded its time limit.
+            ConnectionEndedError: The connection was closed.
             ResponseStatusError: The status is not 200.
-            httptools.HttpParserError: It is no HTTP response.
+            httptools.HttpParserError: The data is not a valid HTTP response.
         """
         async with asyncio.timeout(min(self._next_read_timeout, self._message_time_left())):
             data = await self._reader.read(READ_SIZE)
@@ -72,28 +73,31 @@
         return body
 
     def _message_time_left(self) -> float:
-        # Progress is measured in body bytes and time of the message: a byte now and then doesn't extend it.
-        transfer_time = (self._received - self._message_offset) / MIN_TRANSFER_RATE
+        # Body bytes extend the limit by their transfer time at MIN_TRANSFER_RATE, so a trickle barely does.
+        transfer_time = (self._received_bytes - self._message_offset) / MIN_TRANSFER_RATE
         return self._message_started_at + self._timeouts.message + transfer_time - self._clock()
 
-    # Callbacks of the parser.
+    # Callbacks of the HTTP parser.
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body without its framing."""
+        """Buffer a part of the body, from which the transfer encoding has been removed."""
         self._body += body
-        self._received += len(body)
+        self._received_bytes += len(body)
 
     def on_message_complete(self) -> None:
-        """Note that the response is complete."""
+        """Mark the response as complete."""
         self.is_complete = True
 
 
 @asynccontextmanager
-async def get(address: Address, path: str, timeouts: ResponseTimeouts) -> AsyncIterator[DiscoveryResponse]:
-    """Send a GET request on a connection of its own, which is closed at the end of the context.
+async def open_response(
+    address: Address, path: str, timeouts: ResponseTimeouts
+) -> AsyncIterator[DiscoveryResponse]:
+    """Send a GET request on a new connection, which is closed at the end of the context.
 
     Raises:
-        OSError: The connection failed; TimeoutError: it did not come up in time.
+        OSError: The connection failed.
+        TimeoutError: The connection was not established in time.
     """
     host, port = address
     async with asyncio.timeout(timeouts.connect):
