--- a/load_balancer/proxy/cached_endpoints.py
+++ b/load_balancer/proxy/cached_endpoints.py
@@ -23,13 +23,13 @@
     Raises:
         EndpointListError: The list can't be used.
     """
-    events = builder.events()
-    next(events)
+    event_receiver = builder.event_receiver()
+    next(event_receiver)
     try:
         with path.open("rb") as file:
             for is_cached_list, kind, value in _events(file):
                 if is_cached_list:
-                    events.send((kind, value))
+                    event_receiver.send((kind, value))
     except ValueError as error:
         raise EndpointListSyntaxError(str(error), builder.position) from None
     return builder.build() if builder.has_entries else None
--- a/load_balancer/proxy/endpoint_decoder.py
+++ b/load_balancer/proxy/endpoint_decoder.py
@@ -1,7 +1,8 @@
-"""Decodes endpoint lists from discovery piece by piece; one is checked to its end before any of it is used.
+"""Incremental decoder of endpoint lists from discovery.
 
-A snapshot of 95,000 endpoints is 14 MB of text. It is never held as text, nor as objects: each entry is
-checked and packed as soon as it has arrived, and shares nothing with the list in force.
+A snapshot of 95,000 endpoints is 14 MB of JSON. To save memory it is held neither as text nor as Python
+objects: each entry is validated and packed as soon as it has arrived. The packed rows are separate from those
+of the current endpoint list, which an update with an invalid entry leaves unchanged.
 """
 
 from __future__ import annotations
@@ -29,76 +30,80 @@
     TooManyEndpointsError,
 )
 
-MAX_NESTING = 16  # levels of objects and arrays in a field that is passed over
-LOGGED_ENTRIES = 4  # entries that the log names
+MAX_NESTING = 16  # levels of objects and arrays in the value of an ignored field
+LOGGED_ENTRIES = 4  # entries of an update that are named in the log
 UNKNOWN_MACHINE_TYPE = -1
 
-_STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
+_STATES_BY_LIFECYCLE = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
+}
 
 ParserEvent = tuple[str, Any]
-"""An event of ijson: its kind, and the value of a scalar or the name of a key."""
+"""An ijson event: its kind, and the value of a scalar or the name of a key."""
 
 
 @dataclass(slots=True)
 class DiscoveryUpdate:
-    """A snapshot of the endpoint list, or a delta of it, that has been decoded to its end."""
+    """A completely decoded snapshot or delta of the endpoint list."""
 
     version: int
     is_snapshot: bool
     rows: EndpointRowTable
-    """If a delta names an endpoint twice, the last entry."""
+    """Entries by endpoint id; where a delta names an endpoint twice, the last entry."""
     first_entries: list[str]
-    """Name and state of the first entries, for the log."""
+    """Name and state of the first ``LOGGED_ENTRIES`` entries, for the log."""
 
 
 class UpdateBuilder:
     """Builds a ``DiscoveryUpdate`` from the events of a JSON parser.
 
-    It has no reference to its parser: the garbage collector doesn't see through the parser, and would free
-    neither.
+    The builder must not refer to its parser: the garbage collector can't traverse the parser, so a reference
+    cycle through it would never be freed.
 
     Args:
-        endpoint_id: Returns the id of an endpoint by its name.
-        zone: Returns the number of a zone by its name.
+        endpoint_id: Returns the id of the endpoint with a given name.
+        zone_number: Returns the number of the zone with a given name.
         machine_types: Numbers of the machine types by name.
-        addresses: Gets the addresses of the endpoints.
-        max_endpoints: Endpoints in one update, at most.
+        addresses: Table that encodes the addresses of the endpoints.
+        max_endpoints: Maximum number of endpoints in an update.
     """
 
     def __init__(
         self,
         endpoint_id: Callable[[str], int],
-        zone: Callable[[str], int],
+        zone_number: Callable[[str], int],
         machine_types: Mapping[str, int],
         addresses: AddressTable,
         max_endpoints: int,
     ) -> None:
         self._endpoint_id = endpoint_id
-        self._zone = zone
+        self._zone_number = zone_number
         self._machine_types = machine_types
         self._addresses = addresses
         self._max_endpoints = max_endpoints
-        self._fields: dict[str, Any] = {}  # of the update itself
+        self._fields: dict[str, Any] = {}  # top-level fields of the update, without the entries
         self._rows = EndpointRowTable()
         self._first_entries: list[str] = []
-        self._duplicate: str | None = None  # the name of the first endpoint that is listed twice
+        self._duplicate_name: str | None = None  # the first endpoint that is listed twice
         self._entry_count: int | None = None  # None until the array of entries begins
 
     @property
     def position(self) -> str:
-        """Where in the list the last event was, for messages."""
+        """Position of the last event in the list, for error messages."""
         return "before its entries" if self._entry_count is None else f"after {self._entry_count} entries"
 
     @property
     def has_entries(self) -> bool:
-        """Whether there has been an entry."""
+        """Whether at least one entry has been decoded."""
         return bool(self._entry_count)
 
     def build(self) -> DiscoveryUpdate:
-        """Return the update, once its JSON object has ended.
+        """Return the update; its JSON object must be complete.
 
         Raises:
-            EndpointListFieldError: A field of the update is missing or has a wrong value.
+            EndpointListFieldError: A field of the update is missing or invalid.
             DuplicateEndpointError: A snapshot lists an endpoint twice.
         """
         try:
@@ -106,39 +111,39 @@
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise EndpointListFieldError(f"{type(error).__name__}: {error}") from None
         if self._entry_count is None:
-            raise EndpointListFieldError("no instances")
-        if is_snapshot and self._duplicate is not None:
-            raise DuplicateEndpointError(self._duplicate)
+            raise EndpointListFieldError("instances is missing")
+        if is_snapshot and self._duplicate_name is not None:
+            raise DuplicateEndpointError(self._duplicate_name)
         return DiscoveryUpdate(version, is_snapshot, self._rows, self._first_entries)
 
-    def events(self) -> Generator[None, ParserEvent, None]:
-        """Receive the events of the parser, one ``send`` each.
+    def event_receiver(self) -> Generator[None, ParserEvent, None]:
+        """Return a generator for the parser's events: call ``next`` once, then ``send`` with each event.
 
         Raises:
-            EndpointListError: The list can't be used.
+            EndpointListError: The list is invalid.
         """
         if (yield)[0] != "start_map":
-            raise EndpointListSyntaxError("no object")
+            raise EndpointListSyntaxError("not a JSON object")
         kind, field = yield
         while kind != "end_map":
             kind, value = yield
             if field == "instances":
                 if kind != "start_array":
-                    raise EndpointListSyntaxError("instances are no array")
+                    raise EndpointListSyntaxError("instances is not an array")
                 self._entry_count = self._entry_count or 0
-                yield from self._entries()
+                yield from self._receive_entries()
             elif kind in {"start_map", "start_array"}:
                 yield from self._skip_container()
             else:
                 self._fields[field] = value
             kind, field = yield
-        while True:  # anything but white space after the object is an error of the parser
+        while True:  # the parser rejects anything but white space after the object
             yield
 
-    def _entries(self) -> Generator[None, ParserEvent, None]:
+    def _receive_entries(self) -> Generator[None, ParserEvent, None]:
         while (kind := (yield)[0]) != "end_array":
             if kind != "start_map":
-                raise EndpointListSyntaxError("an entry that is no object", self.position)
+                raise EndpointListSyntaxError("entry is not an object", self.position)
             entry: dict[str, Any] = {}
             kind, field = yield
             while kind != "end_map":
@@ -148,18 +153,18 @@
                 else:
                     entry[field] = value
                 kind, field = yield
-            self._add(entry)
+            self._add_entry(entry)
 
     def _skip_container(self) -> Generator[None, ParserEvent, None]:
-        """Skip the rest of an object or array that has begun."""
+        """Ignore events up to the end of an object or array whose start event has been received."""
         depth = 1
         while depth:
             kind = (yield)[0]
             depth += kind.startswith("start") - kind.startswith("end")
             if depth > MAX_NESTING:
-                raise EndpointListSyntaxError("too deep", self.position)
+                raise EndpointListSyntaxError("objects or arrays are nested too deeply", self.position)
 
-    def _add(self, entry: dict[str, Any]) -> None:
+    def _add_entry(self, entry: dict[str, Any]) -> None:
         assert self._entry_count is not None
         self._entry_count += 1
         try:
@@ -171,25 +176,25 @@
             raise self._entry_error(entry, f"{error} is missing") from None
         except (InvalidAddressError, InvalidFieldError, AddressTableFullError) as error:
             raise self._entry_error(entry, error) from None
-        except ValueError as error:  # a name or host that can't be encoded
+        except ValueError as error:  # a lone surrogate or a null character in a name or host
             raise self._entry_error(entry, error) from None
-        except struct.error as error:  # a number of over 64 bits
+        except struct.error as error:  # an integer that does not fit in 64 bits
             raise self._entry_error(entry, error) from None
         if self._entry_count <= LOGGED_ENTRIES:
             self._first_entries.append(f"{name} {EndpointState(row.state).name.lower()}")
         size = len(self._rows)
-        if size < self._entry_count and self._duplicate is None:  # the row replaced another
-            self._duplicate = name
+        if size < self._entry_count and self._duplicate_name is None:  # the entry replaced an earlier one
+            self._duplicate_name = name
         if size > self._max_endpoints:
             raise TooManyEndpointsError(self._max_endpoints)
 
     def _entry_error(self, entry: dict[str, Any], reason: object) -> EndpointEntryError:
-        return EndpointEntryError(self._entry_count or 0, entry.get("instanceId", "no name"), reason)
+        return EndpointEntryError(self._entry_count or 0, entry.get("instanceId", "unnamed"), reason)
 
     def _decode_entry(self, entry: dict[str, Any]) -> EndpointRow:
-        zone = self._zone(str(entry.get("zone", "")))
+        zone = self._zone_number(str(entry.get("zone", "")))
         machine_type = self._machine_types.get(entry.get("machineType", ""), UNKNOWN_MACHINE_TYPE)
-        state = _STATES.get(entry["lifecycle"])
+        state = _STATES_BY_LIFECYCLE.get(entry["lifecycle"])
         if state is None:
             raise InvalidFieldError("lifecycle", entry["lifecycle"])
         try:
@@ -206,7 +211,7 @@
 
 
 def _invalid_number(entry: dict[str, Any]) -> InvalidFieldError:
-    """Find the field of an entry that should be a number and is not."""
+    """Return an error that names the first numeric field of an entry whose value is not a number."""
     converters: tuple[tuple[str, Callable[[Any], object]], ...] = (("cell", int), ("weight", float))
     for field, convert in converters:
         try:
@@ -217,7 +222,7 @@
 
 
 class UpdateDecoder:
-    """Decodes the text of one update, which arrives in pieces."""
+    """Decodes the JSON text of one update, which arrives in pieces."""
 
     def __init__(self, builder: UpdateBuilder) -> None:
         self._builder = builder
@@ -225,38 +230,38 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether more than white space has arrived."""
+        """Whether anything but white space has been received."""
         return self._parser is not None
 
     def feed(self, data: bytes) -> None:
-        """Decode a piece of the text, which may be empty.
+        """Decode the next piece of the text, which may be empty.
 
         Raises:
-            EndpointListError: The list can't be used.
+            EndpointListError: The list is invalid.
         """
         if not data:
-            return  # to the parser it would be the end of the text
+            return  # the parser would take an empty piece for the end of the text
         if self._parser is None:
             if data.isspace():
                 return
-            events = self._builder.events()
-            next(events)
-            self._parser = ijson.basic_parse_coro(events, use_float=True)
+            event_receiver = self._builder.event_receiver()
+            next(event_receiver)
+            self._parser = ijson.basic_parse_coro(event_receiver, use_float=True)
         try:
             self._parser.send(data)
         except (ijson.JSONError, ValueError, StopIteration, RecursionError) as error:
             raise EndpointListSyntaxError(str(error), self._builder.position) from None
 
     def finish(self) -> DiscoveryUpdate:
-        """Return the update, now that its text has ended.
+        """Return the update; all of its text must have been fed.
 
         Raises:
-            EndpointListError: The list can't be used.
+            EndpointListError: The list is invalid or incomplete.
         """
         if self._parser is None:
-            raise EndpointListSyntaxError("no text")
+            raise EndpointListSyntaxError("the text is empty")
         try:
             self._parser.close()
         except (ijson.JSONError, ValueError):
-            raise EndpointListSyntaxError("the text ends", self._builder.position) from None
+            raise EndpointListSyntaxError("the text is incomplete", self._builder.position) from None
         return self._builder.build()
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize(
     ("text", "error", "message"),
     [
-        (SNAPSHOT[:-60], EndpointListSyntaxError, "after 19 entries: the text ends"),
+        (SNAPSHOT[:-60], EndpointListSyntaxError, "after 19 entries: the text is incomplete"),
         (
             SNAPSHOT.replace(b'"cell":0', b'"cell":"x"', 9),
             EndpointEntryError,
@@ -69,9 +69,13 @@
         (
             b'{"reset":true,"instances":[' + b"[" * 40,
             EndpointListSyntaxError,
-            "an entry that is no object",
+            "entry is not an object",
+        ),
+        (
+            b'{"generation":1,"reset":true,"x":' + b"[" * 40,
+            EndpointListSyntaxError,
+            "objects or arrays are nested too deeply",
         ),
-        (b'{"generation":1,"reset":true,"x":' + b"[" * 40, EndpointListSyntaxError, "too deep"),
         (
             SNAPSHOT.replace(b'"startedAtMs":0.0', b'"startedAtMs":[]', 1).replace(b"[]", b"null", 1),
             EndpointEntryError,
@@ -93,7 +97,7 @@
             "entry 1, s-00000000: ",
         ),
         (SNAPSHOT.replace(b"10.0.0.1:9000", b"10.0.0.1\\u0000:9000", 1), EndpointEntryError, "entry 2, s-"),
-        (b" ", EndpointListSyntaxError, "no text"),
+        (b" ", EndpointListSyntaxError, "the text is empty"),
     ],
     ids=range(15),
 )
