--- a/load_balancer/proxy/endpoint_directory.py
+++ b/load_balancer/proxy/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoint list in force: its rows, addresses and the numbers of names."""
+"""The current endpoint list: a row for each endpoint, and the numbers that stand for names in it."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class EndpointDirectory:
-    """The endpoints by id.
+    """The endpoints of the current list by id.
 
-    Ids are hashes of the endpoints' names, the same at every node and after every start.
+    An id is a hash of the endpoint's name, so it is the same at every node and after every restart.
     """
 
     def __init__(self, config: Config) -> None:
@@ -28,7 +28,7 @@
         return len(self._rows)
 
     def ids(self) -> Iterator[int]:
-        """All ids in order; the directory must not change meanwhile."""
+        """Iterate over the ids in ascending order; the directory must not be modified meanwhile."""
         return self._rows.ids()
 
     def get(self, endpoint_id: int) -> EndpointRow:
@@ -43,50 +43,52 @@
         return row
 
     def changes(self, rows: EndpointRowTable, ready: bool) -> Iterator[tuple[int, EndpointRow] | None]:
-        """Yield what an update's rows change, None for each row that is the same or not asked for.
+        """Compare the rows of an update with the current list.
+
+        Yields the id and row of each endpoint that is new or differs, and None for every other row.
 
         Args:
-            rows: The rows of the update.
-            ready: Whether to yield the endpoints that are ready, or those that are not.
+            rows: Rows of the update.
+            ready: True to yield endpoints that the update lists as READY, False to yield all others.
         """
         return rows.changes(self._rows, ready)
 
     def put(self, endpoint_id: int, row: EndpointRow) -> None:
-        """Add an endpoint or replace its row; one in the state REMOVED is dropped."""
+        """Add an endpoint or replace its row; a row in state REMOVED removes the endpoint."""
         if row.state == EndpointState.REMOVED:
             self._rows.pop(endpoint_id)
         else:
             self._rows.put(endpoint_id, *row)
 
     def target(self, endpoint_id: int) -> UpstreamTarget:
-        """Return where an endpoint listens.
+        """Return the target for connections to an endpoint.
 
         Raises:
             KeyError: The endpoint is not in the list.
         """
-        return self.target_of(self.get(endpoint_id))
+        return self.decode_target(self.get(endpoint_id))
 
-    def target_of(self, row: EndpointRow) -> UpstreamTarget:
-        """Return the target in a row, which need not be of the list in force."""
+    def decode_target(self, row: EndpointRow) -> UpstreamTarget:
+        """Return the target that a row describes; its endpoint need not be in the current list."""
         return UpstreamTarget(self._addresses.decode(row.address), EndpointState(row.state), row.started_at)
 
     def zone_number(self, name: str) -> int:
-        """Return the number of a zone.
+        """Return the number of a zone: its index in the settings, or a negative hash of its name.
 
-        Zones that the settings do not name get negative numbers, different ones for different names.
+        The hash keeps zones distinct that are missing from the settings.
         """
         number = self._config.zones.get(name)
         return -(stable_id(name.encode()) >> 1) - 1 if number is None else number
 
     def new_builder(self) -> UpdateBuilder:
-        """Return a builder of an update whose rows fit this directory."""
+        """Return a builder for one update that uses this directory's address table and zone numbers."""
         config = self._config
         return UpdateBuilder(
             _endpoint_id, self.zone_number, config.machine_types, self._addresses, config.max_endpoints
         )
 
     def new_decoder(self) -> UpdateDecoder:
-        """Return a decoder of an update whose rows fit this directory."""
+        """Return a decoder for one update that uses this directory's address table and zone numbers."""
         return UpdateDecoder(self.new_builder())
 
 
--- a/load_balancer/proxy/endpoint_updater.py
+++ b/load_balancer/proxy/endpoint_updater.py
@@ -124,7 +124,7 @@
 
     def _apply_row(self, endpoint_id: int, row: EndpointRow) -> Endpoint:
         self._directory.put(endpoint_id, row)
-        target = self._directory.target_of(row)
+        target = self._directory.decode_target(row)
         self._pool.update_target(endpoint_id, target)
         return Endpoint(
             id=endpoint_id,
