--- a/load_balancer/proxy/endpoint_rows.py
+++ b/load_balancer/proxy/endpoint_rows.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the proxy holds it: one packed row of 49 bytes for each endpoint."""
+"""Compact storage of an endpoint list: a packed row of 49 bytes for each endpoint."""
 
 from __future__ import annotations
 
@@ -8,63 +8,67 @@
 from load_balancer.policy.endpoints import EndpointState
 from load_balancer.policy.packed_table import PackedTable
 
-_ROW_FORMAT = "<qqqBddQ"  # the fields of EndpointRow, in their order
-_STATE_FIELD = 3
+_ROW_FORMAT = "<qqqBddQ"  # struct format of the fields of EndpointRow, in the same order
+_STATE_INDEX = 3  # position of the field ``state``
 
 
 class EndpointRow(NamedTuple):
-    """One endpoint of the list; its id is the key of the row."""
+    """An entry of the endpoint list, without the endpoint's id, which is the key of the row."""
 
     zone: int
     machine_type: int
     cell: int
     state: int
-    """The value of an ``EndpointState``."""
+    """Value of an ``EndpointState``."""
     weight: float
     started_at: float
-    """ms of Unix time; 0: long ago."""
+    """Unix time of the last start in ms; 0: long ago."""
     address: int
-    """As ``AddressTable`` encodes it."""
+    """Address of the endpoint, encoded by ``AddressTable``."""
 
 
 class EndpointRowTable(PackedTable):
-    """Endpoint rows by the id of the endpoint, in the order of the ids.
+    """Endpoint rows by endpoint id, in ascending order of the ids.
 
-    ``put`` takes the fields of a row one by one, as its base class does: a wrapper would slow decoding down.
+    ``put`` is inherited and takes the fields of a row as separate arguments: a wrapper that takes an
+    ``EndpointRow`` would slow decoding down.
     """
 
     def __init__(self) -> None:
         super().__init__(_ROW_FORMAT)
 
     def get(self, key: int) -> EndpointRow | None:
-        """Return the row of an endpoint, None if it isn't listed."""
+        """Return the row of an endpoint, or None if it is not in the table."""
         values = super().get(key)
         return None if values is None else EndpointRow(*values)
 
     def items(self, low: int = 0, high: int = 1 << 64) -> Iterator[tuple[int, EndpointRow]]:
-        """Yield ids from low to under high, in order, with their rows; the table must not change."""
+        """Yield ids from ``low`` to below ``high``, in order, with their rows.
+
+        The table must not be modified meanwhile.
+        """
         for key, values in super().items(low, high):
             yield key, EndpointRow(*values)
 
     def ids(self) -> Iterator[int]:
-        """Yield the ids in their order. The table must not change meanwhile."""
+        """Yield the ids in ascending order; the table must not be modified meanwhile."""
         for key, _ in super().items():  # noqa: PERF102 (not a dict)
             yield key
 
-    def changes(self, base: EndpointRowTable, ready: bool) -> Iterator[tuple[int, EndpointRow] | None]:
-        """Yield ids and rows that ``base`` lacks or has otherwise, and None for each of the other rows.
+    def changes(self, current: EndpointRowTable, ready: bool) -> Iterator[tuple[int, EndpointRow] | None]:
+        """Compare the rows of this table, those of an update, with the current list.
 
-        ``base`` may change meanwhile. Rows that are not yielded are not decoded: most of a snapshot is
-        unchanged.
+        Yields the id and row of each endpoint that is new or differs, and None for every other row. Only rows
+        that are yielded become an ``EndpointRow``, because most rows of a snapshot are unchanged.
 
         Args:
-            base: What to compare with.
-            ready: Whether to yield the endpoints that are ready, or those that are not.
+            current: Rows of the current list, which may be modified meanwhile.
+            ready: True to yield endpoints that this table lists as READY, False to yield all others.
         """
-        base_values = super(EndpointRowTable, base).get
+        get_current = super(EndpointRowTable, current).get
         for key, values in super().items():
-            is_ready = values[_STATE_FIELD] == EndpointState.READY
-            if is_ready is ready and base_values(key) != values:
+            is_ready = values[_STATE_INDEX] == EndpointState.READY
+            if is_ready is ready and get_current(key) != values:
                 yield key, EndpointRow(*values)
             else:
                 yield None
