--- a/load_balancer/proxy/endpoint_updater.py
+++ b/load_balancer/proxy/endpoint_updater.py
@@ -1,6 +1,6 @@
-"""Applies updates of the endpoint list to the directory, the upstream pool and the policy.
+"""Applies updates of the endpoint list to the endpoint directory, the upstream pool and the policy.
 
-An update may name 95,000 endpoints, so it is applied in slices, between which the event loop runs.
+An update may have 95,000 entries, so it is applied in slices, between which the event loop runs other tasks.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from load_balancer.proxy.errors import EndpointListError
 from load_balancer.proxy.upstream_pool import UpstreamPool
 
-CHANGES_PER_SLICE = 50  # endpoints
-ROWS_PER_SLICE = 500  # rows compared, whether or not they differ
+CHANGES_PER_SLICE = 50  # changed endpoints
+ROWS_PER_SLICE = 500  # compared rows, whether changed or not
 
 logger = logging.getLogger(__name__)
 
 
 class EndpointUpdater:
-    """Applies updates, one at a time.
+    """Applies updates of the endpoint list, one at a time.
 
     Args:
-        directory: The list in force.
-        pool: Its connections to an endpoint that changes are closed.
+        directory: The current endpoint list.
+        pool: Connections to the endpoints; it closes idle ones of an endpoint that changes.
         submit: Passes an event to the policy.
     """
 
@@ -42,29 +42,29 @@
         submit: Callable[[EndpointUpdate], None],
     ) -> None:
         self.unix_offset = time.time() * 1000 - now_ms()
-        """Unix time less the node's clock, in ms."""
+        """Unix time minus the time of the node's monotonic clock, in ms."""
         self._directory = directory
         self._pool = pool
         self._submit = submit
 
     async def apply(self, update: DiscoveryUpdate) -> None:
-        """Apply an update; the event loop runs between its slices."""
+        """Apply an update, yielding to the event loop between slices."""
         for _ in self.apply_slices(update):
             await asyncio.sleep(0)
 
     def apply_cached(self, read: Callable[[UpdateBuilder], DiscoveryUpdate | None]) -> int | None:
-        """Apply the list that the configuration file holds.
+        """Apply the cached endpoint list from the configuration file.
 
         Args:
-            read: Reads that list into the builder; None: it is empty.
+            read: Reads the cached list with a builder; returns None if the list is empty.
 
         Returns:
-            The version of the list; None if it is empty or, which is logged, malformed.
+            The version of the list, or None if it is empty or malformed; a malformed list is logged.
         """
         try:
             update = read(self._directory.new_builder())
         except EndpointListError as error:
-            logger.warning("malformed cached endpoint list: %s", error)
+            logger.warning("ignoring malformed cached endpoint list: %s", error)
             return None
         if update is None:
             return None
@@ -73,11 +73,11 @@
         return update.version
 
     def apply_slices(self, update: DiscoveryUpdate, source: str = "") -> Iterator[None]:
-        """Apply an update, and pause after each slice.
+        """Apply an update slice by slice, yielding after each one except the last.
 
         Args:
-            update: The update.
-            source: What the log calls it; empty: snapshot or delta.
+            update: Update to apply.
+            source: Kind of update in the log line; by default "snapshot" or "delta".
         """
         changed: list[Endpoint] = []
         for endpoint in self._changes(update):
@@ -92,34 +92,37 @@
             _log_update(update, source or ("snapshot" if update.is_snapshot else "delta"))
 
     def _changes(self, update: DiscoveryUpdate) -> Iterator[Endpoint | None]:
-        """Apply what differs from the list in force; None whenever enough rows have been compared.
+        """Apply an update to the directory and the pool, and yield the changed endpoints.
 
-        Endpoints that must not be used any more come first: no request is sent to them meanwhile.
+        Yields None after every ``ROWS_PER_SLICE`` compared rows. Endpoints that may no longer be used come
+        first, so that none is sent a request while the rest of the update is applied.
         """
-        compared = itertools.count(1)
+        row_counter = itertools.count(1)
         if update.is_snapshot:
-            yield from self._remove_missing(update, compared)
-        yield from self._apply_rows(update, compared, ready=False)
-        yield from self._apply_rows(update, compared, ready=True)
+            yield from self._remove_missing(update, row_counter)
+        yield from self._apply_rows(update, row_counter, ready=False)
+        yield from self._apply_rows(update, row_counter, ready=True)
 
-    def _remove_missing(self, update: DiscoveryUpdate, compared: Iterator[int]) -> Iterator[Endpoint | None]:
-        missing = []  # the directory must not change while it is iterated
+    def _remove_missing(
+        self, update: DiscoveryUpdate, row_counter: Iterator[int]
+    ) -> Iterator[Endpoint | None]:
+        missing_ids = []  # collected first, since the directory must not be modified during iteration
         for endpoint_id in self._directory.ids():
             if endpoint_id not in update.rows:
-                missing.append(endpoint_id)
-            if next(compared) % ROWS_PER_SLICE == 0:
+                missing_ids.append(endpoint_id)
+            if next(row_counter) % ROWS_PER_SLICE == 0:
                 yield None
-        for endpoint_id in missing:
+        for endpoint_id in missing_ids:
             row = self._directory.get(endpoint_id)
             yield self._apply_row(endpoint_id, row._replace(state=EndpointState.REMOVED))
 
     def _apply_rows(
-        self, update: DiscoveryUpdate, compared: Iterator[int], *, ready: bool
+        self, update: DiscoveryUpdate, row_counter: Iterator[int], *, ready: bool
     ) -> Iterator[Endpoint | None]:
         for change in self._directory.changes(update.rows, ready):
             if change is not None:
                 yield self._apply_row(*change)
-            if next(compared) % ROWS_PER_SLICE == 0:
+            if next(row_counter) % ROWS_PER_SLICE == 0:
                 yield None
 
     def _apply_row(self, endpoint_id: int, row: EndpointRow) -> Endpoint:
@@ -138,8 +141,8 @@
 
 
 def _log_update(update: DiscoveryUpdate, kind: str) -> None:
-    more = len(update.rows) - len(update.first_entries)
-    names = ", ".join(update.first_entries) + (f" and {more} more" if more > 0 else "")
+    omitted = len(update.rows) - len(update.first_entries)
+    names = ", ".join(update.first_entries) + (f" and {omitted} more" if omitted > 0 else "")
     logger.info(
         "endpoint list version %d applied (%s, %d entries): %s", update.version, kind, len(update.rows), names
     )
