--- a/load_balancer/proxy/address.py
+++ b/load_balancer/proxy/address.py
@@ -1,4 +1,4 @@
-"""Addresses of TCP services."""
+"""TCP addresses in the form ``host:port``."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 Address = tuple[str, int]
-"""Host and port, in the form of the ``socket`` module."""
+"""Host and port, as the ``socket`` module takes them."""
 
 
 def parse_address(text: str) -> Address:
-    """Parse the text ``host:port``.
+    """Parse an address of the form ``host:port``.
 
     Raises:
-        InvalidAddressError: It is no such text.
+        InvalidAddressError: The value has another form or type, or the port is above 65535.
     """
-    if not isinstance(text, str):  # a value of untrusted JSON
+    if not isinstance(text, str):  # values from JSON can have any type
         raise InvalidAddressError(text)
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
