--- a/load_balancer/proxy/backoff.py
+++ b/load_balancer/proxy/backoff.py
@@ -6,13 +6,13 @@
 
 
 class Backoff:
-    """Delays between retries. Each is twice the one before, up to a maximum, and is then drawn at random.
+    """Delays between retries: each is twice the previous one, up to a maximum, times a random factor.
 
     Args:
-        initial: The first delay in s, before jitter.
-        maximum: The longest delay in s, before jitter.
-        jitter: Factors between which each delay is drawn.
-        rng: Source of random numbers.
+        initial: First delay in s, before jitter.
+        maximum: Longest delay in s, before jitter.
+        jitter: Lower and upper bound of the random factor.
+        rng: Random number generator of the factor.
     """
 
     def __init__(
@@ -21,19 +21,19 @@
         self.maximum = maximum
         self._initial = initial
         self._jitter = jitter
-        self._random = rng
+        self._rng = rng
         self._delay = initial
 
     def next_delay(self, maximum: float | None = None) -> float:
         """Return the delay in s before the next retry.
 
         Args:
-            maximum: The longest delay after this one, in s and before jitter, instead of the usual maximum.
+            maximum: Limit in s, before jitter, for the delay after this one; None: the usual maximum.
         """
-        delay = self._delay * self._random.uniform(*self._jitter)
+        delay = self._delay * self._rng.uniform(*self._jitter)
         self._delay = min(2 * self._delay, self.maximum if maximum is None else maximum)
         return delay
 
     def reset(self) -> None:
-        """Begin with the first delay again."""
+        """Restart from the first delay."""
         self._delay = self._initial
