--- a/load_balancer/proxy/cached_endpoints.py
+++ b/load_balancer/proxy/cached_endpoints.py
@@ -1,6 +1,7 @@
-"""The endpoint list in the configuration file, field ``known``: as this node held it before its start.
+"""Reader of the cached endpoint list, which the configuration file holds in its field ``known``.
 
-It may have 95,000 entries. So it is read apart from the rest of the file, and goes straight to the builder.
+It is the list that this node had before its last restart. It may have 95,000 entries, so it is parsed
+separately from the rest of the file and passed to the builder event by event.
 """
 
 from __future__ import annotations
@@ -14,20 +15,20 @@
 from load_balancer.proxy.endpoint_decoder import DiscoveryUpdate, ParserEvent, UpdateBuilder
 from load_balancer.proxy.errors import ConfigError, EndpointListSyntaxError
 
-_FIELD = "known"
+_CACHED_LIST_FIELD = "known"
 
 
 def load_cached_endpoints(path: Path, builder: UpdateBuilder) -> DiscoveryUpdate | None:
-    """Read the list from a configuration file; None if it is empty.
+    """Read the cached list from a configuration file; return None if the list is empty.
 
     Raises:
-        EndpointListError: The list can't be used.
+        EndpointListError: The list is invalid.
     """
     event_receiver = builder.event_receiver()
     next(event_receiver)
     try:
         with path.open("rb") as file:
-            for is_cached_list, kind, value in _events(file):
+            for is_cached_list, kind, value in _tagged_events(file):
                 if is_cached_list:
                     event_receiver.send((kind, value))
     except ValueError as error:
@@ -36,25 +37,30 @@
 
 
 def config_events(file: IO[bytes]) -> Iterator[ParserEvent]:
-    """Yield the parser's events of a configuration file, with true or false in the place of the list.
+    """Yield the JSON events of a configuration file, with a boolean in place of the cached endpoint list.
+
+    The boolean is true if the file has a list, and false if the field is null.
 
     Raises:
-        ConfigError: The list is no JSON object.
-        ijson.JSONError: The file is no JSON.
+        ConfigError: The cached list is neither a JSON object nor null.
+        ijson.JSONError: The file is not valid JSON.
     """
     is_first = True
-    for is_cached_list, kind, value in _events(file):
+    for is_cached_list, kind, value in _tagged_events(file):
         if not is_cached_list:
             yield kind, value
         elif is_first:
             is_first = False
             if kind not in {"null", "start_map"}:
-                raise ConfigError(f"{_FIELD} is no dictionary")
+                raise ConfigError(f"{_CACHED_LIST_FIELD} is not an object")
             yield "boolean", kind == "start_map"
 
 
-def _events(file: IO[bytes]) -> Iterator[tuple[bool, str, Any]]:
-    """Yield events, and whether each is part of the list. Plain tuples: there are millions of them."""
+def _tagged_events(file: IO[bytes]) -> Iterator[tuple[bool, str, Any]]:
+    """Yield for each JSON event whether it belongs to the cached list, its kind and its value.
+
+    The items are plain tuples because a large list has millions of events.
+    """
     depth = 0
     is_cached_list = False
     for kind, value in ijson.basic_parse(file, use_float=True):
@@ -62,4 +68,4 @@
         yield is_cached_list, kind, value
         depth += kind in {"start_map", "start_array"}
         if depth == 1:
-            is_cached_list = kind == "map_key" and value == _FIELD
+            is_cached_list = kind == "map_key" and value == _CACHED_LIST_FIELD
--- a/tests/proxy/test_process.py
+++ b/tests/proxy/test_process.py
@@ -25,7 +25,7 @@
     [
         ({"listen": "127.0.0.1"}, "no host:port"),
         ({"seed": "xyz"}, "xyz"),
-        ({"known": "none"}, "dictionary"),
+        ({"known": "none"}, "known is not an object"),
         ({"settings": {}}, "Allowed"),
         ({"limits": None}, "NoneType"),
         (None, "ROUTER_CONFIG"),
