--- a/load_balancer/proxy/config.py
+++ b/load_balancer/proxy/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a node: the ROUTER_* variables and the JSON file that they name."""
+"""Configuration of a node: the ROUTER_* environment variables and the JSON file named by ROUTER_CONFIG."""
 
 from __future__ import annotations
 
@@ -19,54 +19,63 @@
 from load_balancer.proxy.errors import ConfigError, InvalidAddressError
 from load_balancer.settings_decoder import read_settings
 
-# s after discovery had a change, and could be reached, in which the change counts as notified, whether or not
-# it has arrived.
+# The node counts as notified of a change this long after discovery has the change and is reachable, even if
+# the node has not received it.
 NOTIFIED_AFTER_S = 6.0
-LOOP_DELAY_ALLOWANCE_MS = 100.0  # ms by which the event loop may be late
-ENDPOINT_BYTES = 200  # memory for an endpoint, at most; half of it is used only while a snapshot is decoded
-ENDPOINTS_MEMORY_SHARE = 0.3  # of the node's memory
-DEFAULT_MEMORY_MB = 64
+LOOP_DELAY_ALLOWANCE_MS = 100.0  # margin for callbacks that the event loop runs late
+MAX_BYTES_PER_ENDPOINT = 200  # of memory; half of it is in use only while a snapshot is decoded
+ENDPOINTS_MEMORY_SHARE = 0.3  # share of the node's memory that the endpoint list may take
+DEFAULT_MEMORY_MB = 64  # MB of 2**20 bytes, as in the configuration file
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """What a node knows at its start. Times are in ms."""
+    """Configuration of a node. Times are in ms."""
 
     name: str
+    """Name of the node in the log."""
     listen: Address
+    """Address on which the node accepts clients."""
     discovery: Address
+    """Address of discovery."""
     seed: int
+    """Seed of the random number generators."""
     sockets: int
-    """File descriptors that the process may hold."""
+    """Maximum number of open file descriptors of the process."""
     load_cached_endpoints: Callable[[UpdateBuilder], DiscoveryUpdate | None] | None
-    """Reads the endpoint list that the node held before its start; None if there is none."""
+    """Reads the endpoint list that the node had before its restart; None if there is no such list."""
     settings: Settings
+    """Settings of the policy."""
     classes: dict[bytes, int]
-    """Indices of the request classes by name, in the order of the settings; so are the next three."""
+    """Indices of the request classes in the settings, by name."""
     tenants: dict[bytes, int]
+    """Indices of the tenants in the settings, by name."""
     machine_types: dict[str, int]
+    """Indices of the machine types in the settings, by name."""
     zones: dict[str, int]
+    """Indices of the zones in the settings, by name."""
     drain_grace: float
-    """Time in which attempts at an endpoint must stop after the notification that it drains."""
+    """Time within which attempts at an endpoint must stop after the notification that it drains."""
     connect_timeout: float
+    """Time limit for establishing a connection to an endpoint."""
     idle_timeout: float
     """Time after which an endpoint closes an idle connection."""
     max_endpoints: int = 100_000
-    """Endpoints that a list may have."""
+    """Maximum number of endpoints in the endpoint list."""
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """Read the node's configuration. Variables override the same values in the file.
+    """Read the node's configuration. Environment variables override the same values in the file.
 
     Raises:
-        ConfigError: It can't be read, or a value is missing or wrong.
+        ConfigError: The file can't be read, or a value is missing or invalid.
     """
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
     try:
         with Path(path).open("rb") as file:
-            return _decode_config(_read_object(file), environ, Path(path))
+            return _decode_config(_parse_file(file), environ, Path(path))
     except OSError as error:
         raise ConfigError(error.strerror, path) from None
     except KeyError as error:
@@ -74,32 +83,35 @@
     except (ConfigError, InvalidAddressError) as error:
         raise ConfigError(error, path) from None
     except (TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
-        raise ConfigError(error, path) from None  # a value of a wrong type or out of range
+        raise ConfigError(error, path) from None  # a value has the wrong type or is out of range
 
 
 def read_discovery_address(environ: Mapping[str, str]) -> Address:
-    """Read discovery's address from the file, whatever ROUTER_DISCOVERY says; all of the file is checked.
+    """Read the address of discovery from the file, ignoring ROUTER_DISCOVERY; the whole file is validated.
 
     Raises:
-        ConfigError: As ``read_config``.
+        ConfigError: The file can't be read, or any value is missing or invalid.
     """
     return read_config({key: value for key, value in environ.items() if key != "ROUTER_DISCOVERY"}).discovery
 
 
 def read_config_text(text: bytes | str, environ: Mapping[str, str]) -> Config:
-    """Decode a configuration without cached endpoints from its text; errors are not converted."""
+    """Decode a configuration from JSON text, ignoring its cached endpoint list.
+
+    Errors of decoding are raised as they are, not as ``ConfigError``.
+    """
     return _decode_config(json.loads(text) | {"known": False}, environ, Path())
 
 
-def _read_object(file: IO[bytes]) -> Any:
-    """Read the file's JSON; ``known``, the cached endpoint list, is only whether there is one."""
+def _parse_file(file: IO[bytes]) -> Any:
+    """Parse the configuration file, with ``known`` replaced by whether there is a cached list."""
     builder = ObjectBuilder()
     try:
         for kind, value in config_events(file):
             builder.event(kind, value)
     except ijson.JSONError as error:
         file.seek(0)
-        json.loads(file.read())  # its message is shorter
+        json.loads(file.read())  # raises an error with a shorter message
         raise ConfigError(" ".join(str(error).split())) from None
     return builder.value
 
@@ -108,7 +120,7 @@
     settings = raw["settings"]
     allowed = settings["Allowed"]
     drain_grace = float(settings["Obligations"]["DrainGrace"])
-    memory = float(raw["limits"].get("memory_mb", DEFAULT_MEMORY_MB)) * 2**20
+    memory_bytes = float(raw["limits"].get("memory_mb", DEFAULT_MEMORY_MB)) * 2**20
     return Config(
         name=str(environ.get("ROUTER_NAME") or raw["name"]),
         listen=parse_address(environ.get("ROUTER_LISTEN") or raw["listen"]),
@@ -117,22 +129,22 @@
         sockets=int(raw["limits"]["sockets"]),
         load_cached_endpoints=partial(load_cached_endpoints, path) if raw.get("known") else None,
         settings=_limit_stale_endpoints(read_settings(json.dumps(settings).encode()), drain_grace),
-        classes={c["Name"].encode(): i for i, c in enumerate(settings["Classes"])},
-        tenants={c["Name"].encode(): i for i, c in enumerate(settings.get("Customers", ()))},
-        machine_types={name: i for i, name in enumerate(settings.get("Kinds", ()))},
-        zones={name: i for i, name in enumerate(settings.get("Azs", ()))},
+        classes={entry["Name"].encode(): index for index, entry in enumerate(settings["Classes"])},
+        tenants={entry["Name"].encode(): index for index, entry in enumerate(settings.get("Customers", ()))},
+        machine_types={name: index for index, name in enumerate(settings.get("Kinds", ()))},
+        zones={name: index for index, name in enumerate(settings.get("Azs", ()))},
         drain_grace=drain_grace,
         connect_timeout=float(allowed["DialTimeout"]),
         idle_timeout=float(allowed["ConnIdle"]),
-        max_endpoints=int(memory * ENDPOINTS_MEMORY_SHARE / ENDPOINT_BYTES),
+        max_endpoints=int(memory_bytes * ENDPOINTS_MEMORY_SHARE / MAX_BYTES_PER_ENDPOINT),
     )
 
 
 def _limit_stale_endpoints(settings: Settings, drain_grace: float) -> Settings:
-    """Limit how long a polled list may be used after discovery was last heard.
+    """Limit how long a polled endpoint list may be used after the last contact with discovery.
 
-    Where discovery pushes there is no limit: nothing counts as notified while it is down, and all of it at
-    once when it is back.
+    There is no limit with a discovery that pushes: the node does not count as notified of any change while
+    discovery is unavailable, and of all changes at once when it is available again.
     """
     if not settings.endpoints_are_polled:
         return settings
