--- a/load_balancer/proxy/configuration_reload.py
+++ b/load_balancer/proxy/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration on SIGHUP."""
+"""Reloading of the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def reload_configuration(environ: Mapping[str, str], discovery: DiscoveryClient) -> None:
-    """Read the configuration again and move to the discovery service that it names.
+    """Reload the configuration file and switch to the address of discovery in it.
 
-    Everything else takes a restart, because the policy keeps state that depends on the settings. A
-    configuration with an error anywhere is logged and changes nothing.
+    Any other change needs a restart, because the policy keeps state that depends on the settings. If any part
+    of the configuration is invalid, the error is logged and nothing changes.
     """
     try:
         address = read_discovery_address(environ)
     except ConfigError as error:
-        # The message names the fault; a traceback would bury it.
+        # The message says what is invalid, so a traceback would only add noise.
         logger.error("configuration unchanged: %s", error)  # noqa: TRY400
         return
     logger.info("configuration reloaded: discovery at %s:%d", *address)
