--- a/load_balancer/settings_decoder.py
+++ b/load_balancer/settings_decoder.py
@@ -1,6 +1,7 @@
-"""Maps the policy's part of the protocol's settings object to ``Settings``; ``proxy.config`` reads the rest.
+"""Decoder of the JSON settings object, which maps the names of the protocol to those of ``Settings``.
 
-The node finds the object in its configuration file, the simulator sends it when it starts an instance.
+A node reads the object from its configuration file; the simulator sends it when it starts an instance. The
+values that the policy does not use are read by ``proxy.config``.
 """
 
 from __future__ import annotations
@@ -10,12 +11,12 @@
 
 from load_balancer.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-_IDEMPOTENCY = {
+_IDEMPOTENCY_BY_NAME = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.KEYED,
     "single_shot": Idempotency.NOT_IDEMPOTENT,
 }
-_SCOPES = {
+_SCOPES_BY_NAME = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
@@ -23,47 +24,47 @@
 
 
 class SettingsError(ValueError):
-    """A settings object that can't be used: what is wrong, and in which field."""
+    """An invalid settings object. The message says what is wrong."""
 
 
 def read_settings(text: bytes) -> Settings:
     """Decode a settings object. Unknown keys are ignored.
 
     Raises:
-        SettingsError: It is no JSON, lacks a field, or a value is out of range.
+        SettingsError: The text is not valid JSON, a field is missing, or a value is invalid.
     """
     try:
         raw = json.loads(text)
     except ValueError as error:
         raise SettingsError(f"settings: not JSON: {error}") from None
     try:
-        return _settings(raw)
+        return _decode_settings(raw)
     except KeyError as error:
         raise SettingsError(f"settings: {error} is missing or has an unknown value") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise SettingsError(f"settings: {error}") from None
 
 
-def _request_class(raw: dict[str, Any]) -> RequestClass:
+def _decode_request_class(raw: dict[str, Any]) -> RequestClass:
     return RequestClass(
         latency_objective=float(raw["Aim"]),
         deadline=float(raw["Deadline"]),
         priority_weight=float(raw["Worth"]),
-        idempotency=_IDEMPOTENCY[raw["Idempotency"]],
-        deduplication_scope=_SCOPES[raw.get("Group", "all")],
+        idempotency=_IDEMPOTENCY_BY_NAME[raw["Idempotency"]],
+        deduplication_scope=_SCOPES_BY_NAME[raw.get("Group", "all")],
         deduplication_window=float(raw.get("Window", 0.0)),
         late_weight=float(raw.get("LateValue", 0.0)),
         sequential_per_key=bool(raw.get("SerialByKey", False)),
     )
 
 
-def _settings(raw: dict[str, Any]) -> Settings:
-    allowed, rules = raw["Allowed"], raw["Obligations"]
+def _decode_settings(raw: dict[str, Any]) -> Settings:
+    allowed, obligations = raw["Allowed"], raw["Obligations"]
     discovery = raw["Discovery"]
     if discovery not in ("push", "ask"):
         raise ValueError(f"Discovery can't be {discovery!r}")
     return Settings(
-        classes=tuple(_request_class(raw_class) for raw_class in raw["Classes"]),
+        classes=tuple(_decode_request_class(raw_class) for raw_class in raw["Classes"]),
         zone=int(raw.get("MyZone", 0)),
         node_count=int(raw.get("GroupSize", 1)),
         node_index=int(raw.get("Me", 0)),
@@ -71,17 +72,17 @@
         over_quota_weight=float(raw.get("OverShareWorth", 1.0)),
         endpoints_cache_keys=bool(raw.get("Domain", {}).get("WarmKeys", False)),
         endpoints_are_polled=discovery == "ask",
-        poll_interval_limit=float(rules.get("AskWithin", 10000.0)),
+        poll_interval_limit=float(obligations.get("AskWithin", 10000.0)),
         tick=float(raw["Tick"]),
         can_cancel=bool(allowed.get("MayCancel", False)),
         max_attempts=int(allowed["MaxAttempts"]),
         connect_timeout=float(allowed.get("DialTimeout", 0.0)),
         max_retry_after=float(allowed["MaxRetryAfter"]) if allowed.get("RetryAfter") else 0.0,
-        rejected_may_have_run=bool(rules.get("ShedAfterStart", False)),
+        rejected_may_have_run=bool(obligations.get("ShedAfterStart", False)),
         cross_zone_cost=float(raw.get("Prices", {}).get("CrossZone", 0.0)),
-        key_cooldown=float(rules.get("KeyRest", 0.0)),
-        slow_start_initial=float(rules["ColdFrom"]),
-        slow_start_duration=float(rules["RampTime"]),
-        slow_start_overload_factor=float(rules.get("TipMultiple", 4.0)),
-        slow_start_overload_window=float(rules.get("OverloadFor", 1000.0)),
+        key_cooldown=float(obligations.get("KeyRest", 0.0)),
+        slow_start_initial=float(obligations["ColdFrom"]),
+        slow_start_duration=float(obligations["RampTime"]),
+        slow_start_overload_factor=float(obligations.get("TipMultiple", 4.0)),
+        slow_start_overload_window=float(obligations.get("OverloadFor", 1000.0)),
     )
