--- a/tests/proxy/test_eviction.py
+++ b/tests/proxy/test_eviction.py
@@ -12,7 +12,10 @@
 from tests.proxy.stubs import UpstreamStub, make_request
 
 
-def test_longest_idle_connection_is_evicted_at_limit() -> None:
+def test_longest_idle_connection_is_evicted_at_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Most connections here are closing, and would be evicted first once the grace is over.
+    monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 60.0)
+
     async def test() -> None:
         async with running_node(await UpstreamStub().start(), sockets=96) as harness:
             limit = harness.node.listener.connections.limit
@@ -28,6 +31,27 @@
     run(test())
 
 
+def test_closing_connections_are_evicted_before_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 0.0)
+
+    async def test() -> None:
+        async with running_node(await UpstreamStub().start(), sockets=96) as harness:
+            table = harness.node.listener.connections
+            clients = [await harness.connect() for _ in range(table.limit)]
+            for client in clients:
+                assert (await client.exchange(make_request()))[0] == 200
+            closing = len(table.in_state(ConnectionState.CLOSING))
+            assert closing > 0
+            newest = await harness.connect()
+            assert (await newest.exchange(make_request()))[0] == 200
+            # Another connection closes after its response, since many are idle: the newest one.
+            assert len(table.in_state(ConnectionState.CLOSING)) == closing
+            assert (await clients[0].exchange(make_request()))[0] == 200
+            assert len(table) == table.limit
+
+    run(test())
+
+
 def test_connections_without_any_request_are_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 0.0)
 
