--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -1,8 +1,9 @@
-"""The policy of a node: takes one event, answers with the commands to carry out.
+"""Policy engine: takes one event at a time and returns the commands to carry out.
 
-It wires the parts that own the rules; see the module of each. A request gets a priority score on arrival,
-is rejected under the shedding threshold, or goes to an endpoint. Time comes with the events and random
-numbers come from the seed: the same events bring the same commands.
+``Policy`` connects the components; the module of each component documents its rules. An arriving request gets
+a priority score. It is rejected if the score is below the shedding threshold, and is otherwise sent to an
+endpoint. Time comes from the events and random numbers come from the seed, so that the same events always
+produce the same commands.
 """
 
 from __future__ import annotations
@@ -57,15 +58,15 @@
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from load_balancer.policy.working_set import WorkingSet
 
-HALVING_INTERVAL = 5000.0  # ms, at least, after which counts of offered traffic, keys and attempts are halved
-MAX_UPDATE_STEP = 1000.0  # ms that one update accounts for, at most
-WATCH_TIMER_TOKEN = 1 << 60  # token of the timer that asks for the endpoint list; others are request ids
+HALVING_INTERVAL = 5000.0  # minimum ms between halvings of the request, key and attempt counts
+MAX_UPDATE_ELAPSED = 1000.0  # maximum ms of elapsed time that one update accounts for
+WATCH_TIMER_TOKEN = 1 << 60  # token of the timer that restarts the endpoint watch; others are request ids
 
 
-class Unserved(StrEnum):
-    """Why the policy ended a request itself.
+class UnservedReason(StrEnum):
+    """Why the policy ended a request without sending a further attempt.
 
-    Not counted: a failed attempt whose retry was declined by ``RetryPolicy.draw_retry``.
+    Requests that end because ``RetryPolicy.draw_retry`` declines a retry are not counted.
     """
 
     SHED = "shed below the threshold"
@@ -75,27 +76,27 @@
 
 
 class Policy:
-    """The decisions of one node; shares nothing with other instances.
+    """Makes the load-balancing decisions of one node; instances share no state.
 
     Args:
-        settings: What the node knows at its start.
-        seed: Of the random numbers.
+        settings: Settings of the node, fixed for its lifetime.
+        seed: Seed of the random number generator.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self._now = 0.0
         self._commands: list[Command] = []
-        self._requests: dict[int, PendingRequest] = {}  # those owed a final answer
+        self._requests: dict[int, PendingRequest] = {}  # by id, until their final response
         self.unserved: Counter[str] = Counter()
-        """Requests without an endpoint's answer, by reason; whoever reports them clears it."""
-        self._build_parts(random.Random(seed))
+        """Count of requests that the policy ended itself, by reason; whoever reports it clears it."""
+        self._create_components(random.Random(seed))
         self._update_interval = UPDATE_INTERVAL * time_scale(settings)
-        self._updated_at = 0.0  # ms; 0: never
-        self._halved_at = 0.0
+        self._updated_at = 0.0  # ms; 0 before the first update
+        self._halved_at = 0.0  # ms
 
-    def _build_parts(self, rng: random.Random) -> None:
-        """Create the parts; each owns its state, the others only read it."""
+    def _create_components(self, rng: random.Random) -> None:
+        """Create the components; each component is the only writer of its own state."""
         settings = self.settings
         self._quotas = TenantQuotas(settings.tenant_quotas, settings.node_count)
         self._admission = Admission(settings, rng)
@@ -128,25 +129,30 @@
         )
 
     def handle(self, now: float, event: Event) -> list[Command]:
-        """Handle an event at ``now`` ms on a clock that never goes back; returns the commands in order.
+        """Handle an event and return the commands to carry out, in order.
+
+        Args:
+            now: Current time in ms on a monotonic clock.
+            event: Event to handle.
 
         Raises:
-            UnknownClassError, UnknownTenantError: A request names what the settings do not have.
+            UnknownClassError: The settings do not define the class of the request.
+            UnknownTenantError: The settings define quotas but none for the tenant of the request.
         """
         self._now = now
         commands = self._commands = []
-        handler = _HANDLERS.get(type(event))  # other events tell this policy nothing
+        handler = _HANDLERS.get(type(event))  # None: this policy ignores the event
         if handler is not None:
             handler(self, event)
         while (request := self._sequencer.next_ready()) is not None:
             self._start_attempt(request)
         return commands
 
-    # Requests and their attempts.
+    # Requests and attempts.
 
     def _on_request(self, event: RequestArrived) -> None:
         if self._now - self._updated_at >= self._update_interval:
-            self._update()
+            self._update_estimates()
         if not 0 <= event.class_index < len(self.settings.classes):
             raise UnknownClassError(event.class_index)
         over_quota = self._quotas.count_request(event.tenant, self._now)
@@ -155,7 +161,7 @@
         score = self._admission.count_and_score(event.class_index, over_quota)
         if score < self._admission.threshold:
             self._overload.failures.record_shed_request()
-            self.unserved[Unserved.SHED] += 1
+            self.unserved[UnservedReason.SHED] += 1
             self._commands.append(RejectRequest(event.request_id, self._admission.retry_after(score)))
             return
         request = self._requests[event.request_id] = PendingRequest(event, self._now, score)
@@ -164,30 +170,31 @@
         self._start_attempt(request)
 
     def _start_attempt(self, request: PendingRequest) -> None:
-        """Send the request to an endpoint, wait for its turn, or end it if it can't be served in time."""
-        ahead = self._sequencer.position(request)
+        """Send an attempt, wait for earlier requests of the key, or end a request that can't be served."""
+        requests_ahead = self._sequencer.position(request)
         typical = self._latency.typical[request.arrival.class_index]
         if not self._retries.has_attempts_left(request):
-            self._end_unserved(request, Unserved.NO_ATTEMPTS_LEFT)
+            self._end_unserved(request, UnservedReason.NO_ATTEMPTS_LEFT)
             return
-        latest = self._retries.latest_start(request, typical, ahead)
-        if latest <= self._now:
-            self._end_unserved(request, Unserved.NO_TIME)
+        latest_start_at = self._retries.latest_start(request, typical, requests_ahead)
+        if latest_start_at <= self._now:
+            self._end_unserved(request, UnservedReason.NO_TIME)
             return
-        wait_until = self._sequencer.wait_until(request, ahead, latest, self._now)
+        wait_until = self._sequencer.wait_until(request, requests_ahead, latest_start_at, self._now)
         if wait_until is not None:
-            # At ``latest`` the timer brings the request here again, to be ended.
+            # If the timer fires at ``latest_start_at``, the request is out of time and ends.
             self._commands.append(SetTimer(wait_until - self._now, request.arrival.request_id))
             return
         tracked = self._selector.pick(request, self._now)
         if tracked is None:
-            self._end_unserved(request, Unserved.NO_ENDPOINT)
+            self._end_unserved(request, UnservedReason.NO_ENDPOINT)
             return
-        self._send(request, tracked, typical)
+        self._send_attempt(request, tracked, typical)
 
-    def _send(self, request: PendingRequest, tracked: TrackedEndpoint, typical: float) -> None:
-        # The registry first: it reads the number of the attempt, which ``retries`` then raises. The timeout
-        # last: it depends on the attempts that are left after this one.
+    def _send_attempt(self, request: PendingRequest, tracked: TrackedEndpoint, typical: float) -> None:
+        """Send an attempt to an endpoint; ``typical`` is the typical latency of the request class in ms."""
+        # The registry comes first: it reads the attempt number that the retry policy then increments. The
+        # timeout comes last: it depends on the number of attempts left after this one.
         self._registry.attempt_sent(request, tracked, self._now, self._now + OVERDUE_FACTOR * typical)
         self._retries.attempt_sent(request, tracked.endpoint, self._now)
         self._sequencer.attempt_sent(request)
@@ -202,7 +209,7 @@
         tracked = self._registry.get(event.endpoint_id)
         attempt = self._registry.attempt_ended(tracked, event) if tracked is not None else None
         if tracked is None or attempt is None:
-            return  # reported twice, and the endpoint may be forgotten by now
+            return  # duplicate report; the endpoint may no longer be tracked
         request = attempt.request
         self._overload.attempt_ended()
         self._retries.attempt_ended(request, event.attempt, event.result)
@@ -214,14 +221,14 @@
         elif self._retries.draw_retry(self._overload.value):
             self._start_attempt(request)
         else:
-            self._end(request)
+            self._reject_or_fail(request)
 
-    def _end_unserved(self, request: PendingRequest, reason: Unserved) -> None:
+    def _end_unserved(self, request: PendingRequest, reason: UnservedReason) -> None:
         self.unserved[reason] += 1
-        self._end(request)
+        self._reject_or_fail(request)
 
-    def _end(self, request: PendingRequest) -> None:
-        """Give the final answer without an endpoint's."""
+    def _reject_or_fail(self, request: PendingRequest) -> None:
+        """End a request: reject it if it is safe to send again, else fail it."""
         request_id = request.arrival.request_id
         retry_after = self._admission.retry_after(request.score)
         if self._retries.is_rejectable(request):
@@ -234,13 +241,13 @@
         self._forget_request(event.request_id)
 
     def _forget_request(self, request_id: int) -> None:
-        """Nothing more is owed: cancel what is in flight, where that is possible."""
+        """Drop a request that needs no response any more, and cancel its attempts in flight if allowed."""
         request = self._requests.pop(request_id, None)
         if request is None:
             return
         if self.settings.can_cancel:
-            numbers = sorted(request.attempts_in_flight)
-            self._commands.extend(CancelAttempt(request_id, number) for number in numbers)
+            attempts = sorted(request.attempts_in_flight)
+            self._commands.extend(CancelAttempt(request_id, attempt) for attempt in attempts)
         self._sequencer.finished(request)
 
     def _on_timer(self, event: TimerFired) -> None:
@@ -248,16 +255,16 @@
             self._commands.append(WatchEndpoints())
             return
         request = self._requests.get(event.token)
-        if request is not None and not request.attempts_sent:  # else the timer is left over
+        if request is not None and not request.attempts_sent:  # otherwise the timer is stale
             self._start_attempt(request)
 
-    # Periodic work, done as requests arrive.
+    # Periodic work, driven by arriving requests.
 
-    def _update(self) -> None:
-        """Refresh what is measured over time."""
+    def _update_estimates(self) -> None:
+        """Update the time-based estimates, and age older state where it is due."""
         elapsed = self._update_interval
         if self._updated_at:
-            elapsed = min(self._now - self._updated_at, MAX_UPDATE_STEP)
+            elapsed = min(self._now - self._updated_at, MAX_UPDATE_ELAPSED)
         self._updated_at = self._now
         if self._now - self._halved_at >= HALVING_INTERVAL:
             self._halved_at = self._now
@@ -273,7 +280,7 @@
             self._commands.append(WriteLog(f"load shedding {state}: {overload.describe()}"))
 
     def _age_state(self) -> None:
-        """Halve the counts, so that older traffic weighs less, and drop state that is not in use."""
+        """Halve the counts, so that older traffic weighs less, and drop unused state."""
         self._admission.halve_counts()
         self._affinity.halve_counts()
         self._selector.halve_counts()
@@ -282,7 +289,7 @@
         self._registry.trim(self._working_set.subset.ids)
         self._refresh_working_set()
 
-    # The endpoint list.
+    # Endpoint list.
 
     def _on_endpoint_update(self, event: EndpointUpdate) -> None:
         retry_in = self._staleness.update(event.kind, event.last_heard_at, self._now)
@@ -291,23 +298,23 @@
         if event.kind is UpdateKind.UNAVAILABLE:
             return
         if event.kind is not UpdateKind.DELTA:
-            self._remove_missing({entry.id for entry in event.endpoints})
+            self._remove_unlisted({entry.id for entry in event.endpoints})
         for entry in event.endpoints:
             self._registry.apply(entry, self._now)
         if event.endpoints or event.kind is not UpdateKind.DELTA:
             self._refresh_working_set()
 
-    def _remove_missing(self, listed: set[int]) -> None:
-        """Remove the endpoints that a complete list does not name."""
+    def _remove_unlisted(self, listed_ids: set[int]) -> None:
+        """Remove the endpoints that are missing from a snapshot."""
         table = self._registry.table
         for endpoint_id in table.ids():
-            entry = table.get(endpoint_id) if endpoint_id not in listed else None
+            entry = table.get(endpoint_id) if endpoint_id not in listed_ids else None
             if entry is not None:
                 self._registry.apply(replace(entry, state=EndpointState.REMOVED), self._now)
 
     def _refresh_working_set(self) -> None:
-        """Follow a change of the endpoint table, before any endpoint is picked from it."""
-        # In this order: strengths are those of the subset's fleet, and the ring is made of both.
+        """Rebuild what depends on the endpoint table; required before the next endpoint selection."""
+        # The order matters: the affinity ring is built from the new subset and the new endpoint strengths.
         self._working_set.refresh(self._now, self._overload.concurrency.required)
         self._capacity.refresh(self._now)
         if self.settings.endpoints_cache_keys:
