--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -1,7 +1,8 @@
-"""Admission: the priority score of a request, and the threshold below which load is shed.
+"""Admission control: the priority score of each request, and the shedding threshold.
 
-Scores run from 0 to 100. Request classes are ordered by priority weight, and each gets a band of scores as
-wide as its part of the offered value. Under overload x requests with a score under 100 * x**3 are rejected.
+Scores range from 0 to 100. Priority groups are ordered by weight, and each gets a band of scores proportional
+to its share of the offered value: its weight times its recent requests. At overload x (0 to 1), requests that
+score below 100 * x**3 are rejected.
 """
 
 from __future__ import annotations
@@ -12,21 +13,21 @@
 from load_balancer.policy.settings import Settings
 
 MAX_SCORE = 100.0
-THRESHOLD_EXPONENT = 3  # the threshold stays near 0 under little overload
-# Threshold above which shedding is logged as on, and up to which as off. Less is shed without a line.
-LOG_SHEDDING_FROM, LOG_SHEDDING_UNTIL = 25.0, 1.0
-RETRY_AFTER_JITTER = 0.1  # share of a Retry-After that is random, so that retries don't come together
-NO_TRAFFIC = 1e-9  # requests offered before any arrived: keeps shares defined
+THRESHOLD_EXPONENT = 3  # keeps the threshold near 0 at low overload
+SHEDDING_LOG_ON = 25.0  # threshold above which shedding is logged as on; lighter shedding is not logged
+SHEDDING_LOG_OFF = 1.0  # threshold at or below which shedding is logged as off
+RETRY_AFTER_JITTER = 0.1  # random share of the Retry-After delay; spreads the retries of clients
+INITIAL_COUNT = 1e-9  # requests of each group before any arrive; keeps the shares defined
 
 
 class Admission:
-    """Scores requests and sheds the lowest scores first.
+    """Scores requests and sheds those with the lowest scores first.
 
-    A request has a priority group: its class, or for a request over its tenant's quota the class's number
-    plus the number of classes.
+    Each request class has two priority groups: requests within their tenant's quota have the class index as
+    the group index, and requests over it have the class index plus the number of classes.
 
     Args:
-        settings: Classes and the longest Retry-After.
+        settings: Request classes, over-quota weight and maximum Retry-After.
         rng: Source of random numbers.
     """
 
@@ -35,49 +36,53 @@
         self._max_retry_after = settings.max_retry_after
         classes = settings.classes
         self._class_count = len(classes)
-        self._weights = [c.priority_weight * w for w in (1.0, settings.over_quota_weight) for c in classes]
+        self._weights = [
+            request_class.priority_weight * quota_factor
+            for quota_factor in (1.0, settings.over_quota_weight)
+            for request_class in classes
+        ]
         groups = range(len(self._weights))
-        self._by_weight = sorted(groups, key=self._weights.__getitem__)
-        self._offered = [NO_TRAFFIC for _ in groups]  # recent requests
+        self._groups_by_weight = sorted(groups, key=self._weights.__getitem__)
+        self._request_counts = [INITIAL_COUNT for _ in groups]  # decayed
         self._band_start = [0.0 for _ in groups]
         self._band_width = [MAX_SCORE for _ in groups]
         self.threshold = 0.0
-        """Requests with a lower score are rejected; written here only."""
+        """Requests with a lower score are rejected. Read-only outside this class."""
         self.shedding_logged = False
-        """Whether the log's last word is that load is shed; written here only."""
+        """Whether the last log line said that shedding is on. Read-only outside this class."""
 
     def count_and_score(self, class_index: int, over_quota: bool) -> float:
-        """Count a request and draw its score at random from the band of its priority group."""
+        """Count a request and return a random score from the band of its priority group."""
         group = class_index + self._class_count if over_quota else class_index
-        self._offered[group] += 1
+        self._request_counts[group] += 1
         return self._band_start[group] + self._band_width[group] * self._random.random()
 
     def retry_after(self, score: float) -> float:
-        """Time in ms that a rejected client should wait: the lower the score the longer."""
+        """Return the time in ms that a rejected client should wait: longer for lower scores."""
         jitter = (1.0 - RETRY_AFTER_JITTER) + RETRY_AFTER_JITTER * self._random.random()
         return self._max_retry_after * (1.0 - score / MAX_SCORE) * jitter
 
     def halve_counts(self) -> None:
-        """Let older traffic weigh less in the bands."""
-        self._offered = [count / 2 for count in self._offered]
+        """Halve the request counts, so that older traffic weighs less in the bands."""
+        self._request_counts = [count / 2 for count in self._request_counts]
 
     def update_bands(self) -> None:
-        """Recompute the bands from the offered traffic; groups of equal weight share one."""
-        value = [weight * count for weight, count in zip(self._weights, self._offered, strict=True)]
-        total = sum(value) or 1.0
-        below = 0.0
-        for _, same_weight in groupby(self._by_weight, key=self._weights.__getitem__):
+        """Recompute the score bands from recent requests; groups of equal weight share a band."""
+        values = [weight * count for weight, count in zip(self._weights, self._request_counts, strict=True)]
+        total_value = sum(values) or 1.0
+        value_below = 0.0
+        for _, same_weight in groupby(self._groups_by_weight, key=self._weights.__getitem__):
             groups = list(same_weight)
-            band = sum(value[group] for group in groups)
+            band_value = sum(values[group] for group in groups)
             for group in groups:
-                self._band_start[group] = MAX_SCORE * below / total
-                self._band_width[group] = MAX_SCORE * band / total
-            below += band
+                self._band_start[group] = MAX_SCORE * value_below / total_value
+                self._band_width[group] = MAX_SCORE * band_value / total_value
+            value_below += band_value
 
     def update_threshold(self, overload: float) -> bool:
-        """Set the threshold for an overload of 0 to 1; returns whether shedding has begun or ended."""
+        """Set the threshold for an overload of 0 to 1; return whether ``shedding_logged`` has changed."""
         self.threshold = MAX_SCORE * overload**THRESHOLD_EXPONENT
-        limit = LOG_SHEDDING_UNTIL if self.shedding_logged else LOG_SHEDDING_FROM
-        changed = self.shedding_logged != (self.threshold > limit)
+        log_threshold = SHEDDING_LOG_OFF if self.shedding_logged else SHEDDING_LOG_ON
+        changed = self.shedding_logged != (self.threshold > log_threshold)
         self.shedding_logged ^= changed
         return changed
