--- a/load_balancer/policy/overload.py
+++ b/load_balancer/policy/overload.py
@@ -1,4 +1,4 @@
-"""Overload of the endpoints, 0 to 1: the larger of what failures and what attempts in flight show."""
+"""Overload of the endpoints, 0 to 1: the larger of an estimate from failures and one from concurrency."""
 
 from __future__ import annotations
 
@@ -7,17 +7,22 @@
 from load_balancer.policy.failure_ratio import FleetFailureRatio
 from load_balancer.policy.fleet_capacity import FleetCapacity
 
-UPDATE_INTERVAL = 50.0  # ms between updates, at least, times the time scale; they run as requests arrive
-FAILURES_FROM, FAILURES_FULL = 0.1, 0.4  # failure ratio at which overload begins, and at which it is 1
-IN_FLIGHT_FROM, IN_FLIGHT_FULL = 1.0, 1.5  # the same, in multiples of the required concurrency
-AVERAGE_WINDOW = 4000.0  # ms over which attempts in flight are averaged, divided by the concurrency
-MIN_AVERAGE_UPDATES, MAX_AVERAGE_UPDATES = 4, 100  # the same window in updates, at least and at most
-REJECTION_FAILURE_FACTOR = 2  # times the failure ratio: the weight of a rejection, at least
-ERROR_WEIGHT = 0.5  # of an error or reset that took the usual time: quick ones load no endpoint
+UPDATE_INTERVAL = 50.0  # minimum ms between updates before time scaling; arriving requests trigger them
+LOW_FAILURE_RATIO = 0.1  # failure ratio at which overload begins
+HIGH_FAILURE_RATIO = 0.4  # failure ratio at which overload is 1
+LOW_UTILIZATION = 1.0  # attempts in flight / required concurrency at which overload begins
+HIGH_UTILIZATION = 1.5  # attempts in flight / required concurrency at which overload is 1
+AVERAGING_TIME = 4000.0  # ms; divided by the required concurrency, the window of the moving averages
+MIN_AVERAGING_UPDATES = 4  # minimum of that window, in update intervals
+MAX_AVERAGING_UPDATES = 100  # maximum of that window, in update intervals
+REJECTION_FAILURE_FACTOR = 2  # minimum weight of a rejection, as a multiple of the unweighted failure ratio
+# Weight of an error or reset after the typical latency; earlier ones weigh less, as they put less load on an
+# endpoint.
+ERROR_WEIGHT = 0.5
 
 
 class OverloadEstimator:
-    """Measures overload over all endpoints by this node's own attempts.
+    """Estimates the overload of all endpoints from this node's own attempts.
 
     Args:
         time_scale: Factor on the time constants.
@@ -28,39 +33,48 @@
         self.failures = FleetFailureRatio(time_scale)
         self.concurrency = ConcurrencyEstimator(time_scale)
         self.value = 0.0
-        """Overload, 0 to 1; written here only."""
+        """Overload, 0 to 1. Read-only outside this class."""
         self.in_flight = 0
-        """Attempts without a result; written here only."""
+        """Number of attempts without a result. Read-only outside this class."""
         self.average_in_flight = 0.0
-        """The same, averaged, without lost attempts; written here only."""
-        self._sent = 0
-        self._send_rate = 0.0  # attempts a ms
+        """Moving average of ``in_flight`` less lost attempts. Read-only outside this class."""
+        self._sent_since_update = 0
+        self._send_rate = 0.0  # attempts per ms, moving average
 
     def attempt_sent(self) -> None:
-        """Count an attempt that is sent."""
+        """Count an attempt as in flight."""
         self.in_flight += 1
-        self._sent += 1
+        self._sent_since_update += 1
 
     def attempt_ended(self) -> None:
-        """Count an attempt that has its result."""
+        """Remove an attempt from those in flight."""
         self.in_flight -= 1
 
     def record_result(self, result: AttemptResult, elapsed: float, typical: float) -> float:
-        """Count a result after ``elapsed`` ms where ``typical`` ms are usual; returns its weight, 0 to 1."""
+        """Record the result of an attempt.
+
+        Args:
+            result: Result of the attempt.
+            elapsed: Time in ms since the attempt was sent.
+            typical: Typical latency of the request class in ms.
+
+        Returns:
+            Weight of the result as a sign of overload if it is a failure, 0 to 1.
+        """
         weight = self._failure_weight(result, elapsed, typical)
         self.failures.record(result is not AttemptResult.SUCCESS, weight)
         return weight
 
     def _failure_weight(self, result: AttemptResult, elapsed: float, typical: float) -> float:
-        """How far a failure is a sign of overload: what put no load on an endpoint is none."""
+        """Return how far a failure is a sign of overload; one that put no load on an endpoint is none."""
         if result is AttemptResult.CONNECT_FAILED:
             return 0.0
         if result in (AttemptResult.ERROR, AttemptResult.RESET):
             return min(1.0, ERROR_WEIGHT * elapsed / typical)
-        lowest = self.concurrency.lowest_mean_latency
-        if result is AttemptResult.REJECTED and lowest:
-            # Full queues come with slow answers, or with many failures; else a rejection has another cause.
-            slowdown = self.concurrency.mean_latency / lowest - 1.0
+        lowest_latency = self.concurrency.lowest_mean_latency
+        if result is AttemptResult.REJECTED and lowest_latency:
+            # Full queues come with slow responses or many failures; other rejections have another cause.
+            slowdown = self.concurrency.mean_latency / lowest_latency - 1.0
             return min(1.0, max(slowdown, REJECTION_FAILURE_FACTOR * self.failures.unweighted))
         return 1.0
 
@@ -68,30 +82,30 @@
         """Recompute the overload.
 
         Args:
-            elapsed: ms since the last update.
-            lost_attempts: Attempts in flight that are no load on any endpoint.
-            capacity: The endpoints.
+            elapsed: Time in ms since the last update.
+            lost_attempts: Attempts in flight that put no load on any endpoint.
+            capacity: Capacity of the fleet.
         """
-        self._average(elapsed, lost_attempts)
+        self._update_averages(elapsed, lost_attempts)
         self.failures.decay(elapsed)
         self.concurrency.update(elapsed, self.average_in_flight, self._send_rate, self.failures, capacity)
-        by_failures = (self.failures.value - FAILURES_FROM) / (FAILURES_FULL - FAILURES_FROM)
-        used = self.average_in_flight / self.concurrency.required
-        by_in_flight = (used - IN_FLIGHT_FROM) / (IN_FLIGHT_FULL - IN_FLIGHT_FROM)
-        self.value = min(max(by_failures, by_in_flight, 0.0), 1.0)
+        by_failures = (self.failures.value - LOW_FAILURE_RATIO) / (HIGH_FAILURE_RATIO - LOW_FAILURE_RATIO)
+        utilization = self.average_in_flight / self.concurrency.required
+        by_concurrency = (utilization - LOW_UTILIZATION) / (HIGH_UTILIZATION - LOW_UTILIZATION)
+        self.value = min(max(by_failures, by_concurrency, 0.0), 1.0)
 
     def describe(self) -> str:
-        """The measurements behind the value, for the log."""
+        """Format the measurements behind the overload value for the log."""
         return (
             f"overload {self.value:.2f}, failure ratio {self.failures.value:.2f}, "
             f"{self.average_in_flight:.1f} attempts in flight of {self.concurrency.required:.1f} required"
         )
 
-    def _average(self, elapsed: float, lost_attempts: int) -> None:
-        # Few attempts in flight vary by chance: a small concurrency is averaged over a longer time.
-        window = max(AVERAGE_WINDOW / self.concurrency.required, MIN_AVERAGE_UPDATES * UPDATE_INTERVAL)
-        window = min(window, MAX_AVERAGE_UPDATES * UPDATE_INTERVAL) * self._time_scale
-        share = min(1.0, elapsed / window)
-        self.average_in_flight += (self.in_flight - lost_attempts - self.average_in_flight) * share
-        self._send_rate += (self._sent / max(elapsed, 1.0) - self._send_rate) * share
-        self._sent = 0
+    def _update_averages(self, elapsed: float, lost_attempts: int) -> None:
+        # Few attempts in flight vary by chance: the lower the concurrency, the longer the averaging window.
+        window = max(AVERAGING_TIME / self.concurrency.required, MIN_AVERAGING_UPDATES * UPDATE_INTERVAL)
+        window = min(window, MAX_AVERAGING_UPDATES * UPDATE_INTERVAL) * self._time_scale
+        gain = min(1.0, elapsed / window)
+        self.average_in_flight += (self.in_flight - lost_attempts - self.average_in_flight) * gain
+        self._send_rate += (self._sent_since_update / max(elapsed, 1.0) - self._send_rate) * gain
+        self._sent_since_update = 0
--- a/tests/policy/policy_state.py
+++ b/tests/policy/policy_state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from load_balancer.policy.failure_ratio import PRIOR_SUCCESSES
-from load_balancer.policy.overload import FAILURES_FROM, FAILURES_FULL
+from load_balancer.policy.overload import HIGH_FAILURE_RATIO, LOW_FAILURE_RATIO
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from tests.policy.driver import PolicyDriver
 
@@ -19,7 +19,7 @@
     policy = driver.policy
     estimator = policy._overload
     estimator.average_in_flight = estimator.in_flight = 0
-    ratio = FAILURES_FROM + overload * (FAILURES_FULL - FAILURES_FROM)
+    ratio = LOW_FAILURE_RATIO + overload * (HIGH_FAILURE_RATIO - LOW_FAILURE_RATIO)
     estimator.failures._attempts = 1000.0
     estimator.failures._failures = ratio * (1000.0 + PRIOR_SUCCESSES)
     policy._admission.update_bands()
