--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -1,28 +1,31 @@
-"""How many attempts in flight a busy fleet needs: Little's law on the best that was seen."""
+"""Required concurrency: the attempts in flight that a busy fleet needs from this node.
+
+By Little's law it is the peak goodput times the lowest mean latency, with some headroom; it is at least the
+nominal concurrency and the concurrency proven in operation. Goodput is the rate of useful responses:
+successful ones that are in time, or that are late in a request class that gives weight to late responses.
+"""
 
 from __future__ import annotations
 
 from load_balancer.policy.failure_ratio import FleetFailureRatio
 from load_balancer.policy.fleet_capacity import FleetCapacity
 
-RATE_WINDOW = 2000.0  # ms over which the rate of useful answers is averaged
-PEAK_WINDOW = 20000.0  # ms over which its peak fades
-MIN_LATENCY_SAMPLES = 60.0  # answers over which the mean latency is averaged, or a rate window if longer
-FEW_SAMPLES = MIN_LATENCY_SAMPLES / 5  # answers below which the latency is not known
-LOWEST_LATENCY_GROWTH_TIME = (
-    100000.0  # ms in which the lowest mean latency grows e-fold: it follows heavier work
-)
-QUICK_RATIO = 1.3  # answers are quick while their mean is below this multiple of the lowest mean
-CONGESTED_RATIO = 2.0  # above this multiple most attempts in flight wait in a queue
-LATE_RATIO = 0.03  # share of late answers below which the concurrency is proven sufficient
-MAX_PROVEN_RATIO = 1.5  # of the fleet's nominal concurrency, that can be proven so
-HEADROOM = 1.5  # multiple of the best seen that may be tried while next to nothing fails
-HEALTHY_FAILURES = 0.05  # failure ratio below which growing traffic is taken for growth
-NO_HEADROOM_FAILURES = 0.1  # failure ratio from which there is no headroom
+GOODPUT_WINDOW = 2000.0  # ms over which the goodput is averaged
+PEAK_WINDOW = 20000.0  # ms over which the peak goodput decays
+MIN_LATENCY_WINDOW = 60.0  # responses over which the mean latency is averaged, unless GOODPUT_WINDOW has more
+MIN_SAMPLES = MIN_LATENCY_WINDOW / 5  # responses below which the mean latency counts as unknown
+LOWEST_LATENCY_GROWTH_TIME = 100000.0  # ms in which the lowest latency grows e-fold to follow heavier work
+LOW_LATENCY_RATIO = 1.3  # mean latency / lowest mean latency below which responses are fast
+CONGESTED_RATIO = 2.0  # mean latency / lowest mean latency above which most attempts in flight are queued
+MAX_LATE_RATIO = 0.03  # share of late responses below which the attempts in flight are proven sustainable
+MAX_PROVEN_RATIO = 1.5  # maximum of the proven concurrency, as a multiple of the nominal concurrency
+MAX_HEADROOM = 1.5  # multiple of the learned concurrency that is required while almost nothing fails
+MAX_GROWTH_FAILURE_RATIO = 0.05  # failure ratio below which a higher send rate counts as growing traffic
+NO_HEADROOM_FAILURE_RATIO = 0.1  # failure ratio from which there is no headroom
 
 
 class ConcurrencyEstimator:
-    """Learns the required concurrency of this node.
+    """Estimates the required concurrency of this node.
 
     Args:
         time_scale: Factor on the time constants.
@@ -30,37 +33,37 @@
 
     def __init__(self, time_scale: float) -> None:
         self._time_scale = time_scale
-        self._rate_window = RATE_WINDOW * time_scale
+        self._goodput_window = GOODPUT_WINDOW * time_scale
         self._peak_window = PEAK_WINDOW * time_scale
         self.required = 1.0
-        """Attempts in flight that a busy fleet needs of this node; written here only."""
+        """Attempts in flight that a busy fleet needs from this node. Read-only outside this class."""
         self.mean_latency = 0.0
-        """ms, of recent useful answers; written here only."""
+        """Mean latency of recent useful responses in ms. Read-only outside this class."""
         self.lowest_mean_latency = 0.0
-        """ms; 0: not known yet; written here only."""
+        """Lowest mean latency in ms; 0 while unknown. Read-only outside this class."""
         self.peak_rate_per_endpoint = 0.0
-        """Peak rate of this node's useful answers, a ms and warm endpoint of the whole fleet."""
-        self._useful_answers = 0
-        self._observed_for = 0.0
-        self._rate = 0.0  # useful answers a ms
-        self._peak_rate = 0.0  # the same, at its fading peak
-        self._latency_samples = 0.0
-        self._late_ratio = 1.0
-        self._proven = 0.0  # attempts in flight while nearly all answers were in time
+        """Peak goodput of this node: useful responses per ms and per warm endpoint of the whole fleet."""
+        self._useful_responses = 0  # since the last update
+        self._observed_time = 0.0  # ms that the goodput is averaged over, at most the window
+        self._goodput = 0.0  # useful responses per ms
+        self._peak_goodput = 0.0  # decaying peak of the goodput, or of the send rate of growing traffic
+        self._latency_samples = 0.0  # responses that the mean latency is averaged over
+        self._late_ratio = 1.0  # moving share of late responses and timeouts
+        self._proven_concurrency = 0.0  # attempts in flight while almost all responses were in time
 
     @property
     def congested(self) -> bool:
-        """Whether answers are so slow that most attempts in flight wait in queues."""
+        """Whether responses are so slow that most attempts in flight are waiting in queues."""
         return self.mean_latency > CONGESTED_RATIO * self.lowest_mean_latency
 
     def record_timeliness(self, late: bool) -> None:
-        """Count an answer or a timeout as late or in time."""
-        self._late_ratio += (late - self._late_ratio) / MIN_LATENCY_SAMPLES
+        """Record whether a response was late; timeouts count as late."""
+        self._late_ratio += (late - self._late_ratio) / MIN_LATENCY_WINDOW
 
-    def record_useful_answer(self, elapsed: float) -> None:
-        """Count an answer that is worth anything, ``elapsed`` ms after its attempt was sent."""
-        self._useful_answers += 1
-        window = max(MIN_LATENCY_SAMPLES, self._answers_per_window())
+    def record_useful_response(self, elapsed: float) -> None:
+        """Record a useful response that arrived ``elapsed`` ms after its attempt was sent."""
+        self._useful_responses += 1
+        window = max(MIN_LATENCY_WINDOW, self._responses_per_window())
         self._latency_samples = min(self._latency_samples + 1, window)
         self.mean_latency += (elapsed - self.mean_latency) / self._latency_samples
 
@@ -72,54 +75,56 @@
         failures: FleetFailureRatio,
         capacity: FleetCapacity,
     ) -> None:
-        """Recompute what is required.
+        """Recompute the required concurrency.
 
         Args:
-            elapsed: ms since the last update.
-            in_flight: Attempts in flight, averaged.
-            send_rate: Attempts a ms, averaged.
-            failures: Recent failures.
-            capacity: The endpoints, for the nominal concurrency.
+            elapsed: Time in ms since the last update.
+            in_flight: Average number of attempts in flight.
+            send_rate: Average number of attempts sent per ms.
+            failures: Recent failures over all endpoints.
+            capacity: Capacity of the fleet.
         """
-        self._update_rates(elapsed, capacity.warm_endpoints)
-        if self._latency_samples >= FEW_SAMPLES:
+        self._update_goodput(elapsed, capacity.warm_endpoints)
+        if self._latency_samples >= MIN_SAMPLES:
             self._update_lowest_latency(elapsed)
             self._follow_growth(send_rate, failures.value)
-        self._update_proven(elapsed, in_flight, capacity.nominal_concurrency)
-        headroom = 1.0 + (HEADROOM - 1.0) * max(0.0, 1.0 - failures.value / NO_HEADROOM_FAILURES)
-        learned = headroom * self._peak_rate * self.lowest_mean_latency
-        self.required = max(capacity.nominal_concurrency, learned, self._proven)
-        if self._latency_samples < FEW_SAMPLES:
+        self._update_proven_concurrency(elapsed, in_flight, capacity.nominal_concurrency)
+        headroom = 1.0 + (MAX_HEADROOM - 1.0) * max(0.0, 1.0 - failures.value / NO_HEADROOM_FAILURE_RATIO)
+        learned = headroom * self._peak_goodput * self.lowest_mean_latency
+        self.required = max(capacity.nominal_concurrency, learned, self._proven_concurrency)
+        if self._latency_samples < MIN_SAMPLES:
             self.required = max(self.required, 1.0)
 
-    def _answers_per_window(self) -> float:
-        return self._rate * RATE_WINDOW * self._time_scale
+    def _responses_per_window(self) -> float:
+        return self._goodput * GOODPUT_WINDOW * self._time_scale
 
-    def _update_rates(self, elapsed: float, warm_endpoints: float) -> None:
-        # A young node has seen less than a window.
-        self._observed_for = min(self._observed_for + elapsed, self._rate_window)
-        new_rate = self._useful_answers / max(elapsed, 1.0)
-        self._rate += (new_rate - self._rate) * elapsed / self._observed_for
+    def _update_goodput(self, elapsed: float, warm_endpoints: float) -> None:
+        # Until a whole window has passed, the average covers the time since the start of the node.
+        self._observed_time = min(self._observed_time + elapsed, self._goodput_window)
+        new_goodput = self._useful_responses / max(elapsed, 1.0)
+        self._goodput += (new_goodput - self._goodput) * elapsed / self._observed_time
         keep = 1 - elapsed / self._peak_window
-        self._peak_rate = max(self._peak_rate * keep, self._rate)
-        self.peak_rate_per_endpoint = max(self.peak_rate_per_endpoint * keep, self._rate / warm_endpoints)
-        self._useful_answers = 0
+        self._peak_goodput = max(self._peak_goodput * keep, self._goodput)
+        self.peak_rate_per_endpoint = max(self.peak_rate_per_endpoint * keep, self._goodput / warm_endpoints)
+        self._useful_responses = 0
 
     def _update_lowest_latency(self, elapsed: float) -> None:
         lowest = self.lowest_mean_latency or self.mean_latency
         self.lowest_mean_latency = min(lowest * (1 + elapsed / LOWEST_LATENCY_GROWTH_TIME), self.mean_latency)
 
     def _follow_growth(self, send_rate: float, failure_ratio: float) -> None:
-        # Growing traffic is sent before it is answered. The attempts in flight would not show growth alone:
-        # they also rise when answers slow down. With few answers slowness is seen too late.
-        quick = self.mean_latency < QUICK_RATIO * self.lowest_mean_latency
-        enough = self._answers_per_window() > MIN_LATENCY_SAMPLES / 2
-        if failure_ratio < HEALTHY_FAILURES and quick and enough:
-            self._peak_rate = max(self._peak_rate, send_rate)
-
-    def _update_proven(self, elapsed: float, in_flight: float, nominal: float) -> None:
-        # What is answered in time is no overload, even where this node has more than its part of the traffic.
-        timely = self._late_ratio < LATE_RATIO
-        self._proven *= 1 - elapsed / (self._peak_window if timely else self._rate_window)
-        if timely:
-            self._proven = max(self._proven, min(in_flight, MAX_PROVEN_RATIO * nominal))
+        # When traffic grows, the send rate rises before the goodput. Attempts in flight alone do not show
+        # growth, as they also rise when responses slow down. With few responses a slowdown is seen too late.
+        low_latency = self.mean_latency < LOW_LATENCY_RATIO * self.lowest_mean_latency
+        enough_responses = self._responses_per_window() > MIN_LATENCY_WINDOW / 2
+        if failure_ratio < MAX_GROWTH_FAILURE_RATIO and low_latency and enough_responses:
+            self._peak_goodput = max(self._peak_goodput, send_rate)
+
+    def _update_proven_concurrency(self, elapsed: float, in_flight: float, nominal: float) -> None:
+        # Traffic that is served in time is no overload, even where this node has more than its share of it.
+        in_time = self._late_ratio < MAX_LATE_RATIO
+        self._proven_concurrency *= 1 - elapsed / (self._peak_window if in_time else self._goodput_window)
+        if in_time:
+            self._proven_concurrency = max(
+                self._proven_concurrency, min(in_flight, MAX_PROVEN_RATIO * nominal)
+            )
--- a/load_balancer/policy/result_recorder.py
+++ b/load_balancer/policy/result_recorder.py
@@ -77,4 +77,4 @@
         if not lost:  # a lost attempt says nothing of how long others take
             concurrency.record_timeliness(late or event.result is AttemptResult.TIMEOUT)
         if event.result is AttemptResult.SUCCESS and (request_class.late_weight or not late):
-            concurrency.record_useful_answer(event.elapsed)
+            concurrency.record_useful_response(event.elapsed)
--- a/tests/policy/policy_state.py
+++ b/tests/policy/policy_state.py
@@ -67,7 +67,7 @@
 
 def timely_answers_per_second(driver: PolicyDriver) -> float:
     """The rate of answers in time."""
-    return driver.policy._overload.concurrency._rate * 1000
+    return driver.policy._overload.concurrency._goodput * 1000
 
 
 def set_warm_endpoint_rate(driver: PolicyDriver, per_second: float) -> None:
