--- a/load_balancer/policy/failure_ratio.py
+++ b/load_balancer/policy/failure_ratio.py
@@ -1,52 +1,52 @@
-"""The share of recent attempts that failed, over all endpoints."""
+"""Failure ratio of recent attempts over all endpoints."""
 
 from __future__ import annotations
 
-WINDOW_TIME = 4000.0  # ms over which attempts fade
-WINDOW_ATTEMPTS = 33.0  # attempts over which they fade
-WINDOW_SHED_REQUESTS = 100.0  # requests shed by this node over which they fade
-PRIOR_SUCCESSES = 4.0  # attempts assumed successful: a few failures by chance are no overload
-MAX_DECAY = 0.5  # share that one update lets fade at most, however long ago the last one was
+WINDOW_TIME = 4000.0  # ms over which recorded attempts decay
+WINDOW_ATTEMPTS = 33.0  # attempts over which earlier attempts decay
+WINDOW_SHED_REQUESTS = 100.0  # requests shed by this node over which recorded attempts decay
+PRIOR_SUCCESSES = 4.0  # assumed successful attempts, so that a few failures by chance are no overload
+MAX_DECAY = 0.5  # maximum share of the counts that one update removes, however long after the last one
 
 
 class FleetFailureRatio:
-    """A decayed count of attempts and of weighted failures.
+    """Decaying counts of attempts and weighted failures, and their ratio.
 
     Args:
-        time_scale: Factor on the time in which attempts fade.
+        time_scale: Factor on the time over which attempts decay.
     """
 
     def __init__(self, time_scale: float) -> None:
         self._window_time = WINDOW_TIME * time_scale
-        self._failures = 0.0
-        self._attempts = 0.0
+        self._failures = 0.0  # weighted and decayed
+        self._attempts = 0.0  # decayed
         self.value = 0.0
-        """Weighted share of failures, 0 to 1; written here only."""
+        """Weighted failure ratio, 0 to 1. Read-only outside this class."""
         self.unweighted = 0.0
-        """The same, each failure counted whole; written here only."""
+        """Failure ratio with a weight of 1 for each failure, 0 to 1. Read-only outside this class."""
 
     def record(self, failed: bool, weight: float) -> None:
-        """Count an attempt; ``weight`` (0 to 1) is how far its failure is a sign of overload."""
+        """Count an attempt; if it failed, ``weight`` (0 to 1) is how far that is a sign of overload."""
         self._attempts += 1.0 - self._attempts / WINDOW_ATTEMPTS
         self._failures += weight * failed - self._failures / WINDOW_ATTEMPTS
         self.unweighted += (failed - self.unweighted) / WINDOW_ATTEMPTS
-        self._refresh()
+        self._update_ratio()
 
     def record_shed_request(self) -> None:
-        """Count a request that was shed: what was seen before weighs less, from the next update on.
+        """Decay the counts for a request shed by this node; ``value`` follows at the next update.
 
-        Without this a threshold that sheds nearly everything would never fall: successes and failures
-        fade alike, and their ratio stays.
+        Without this decay, a threshold that sheds almost all requests would never fall: successes and
+        failures decay at the same rate, so that their ratio would stay.
         """
         self._failures -= self._failures / WINDOW_SHED_REQUESTS
         self._attempts -= self._attempts / WINDOW_SHED_REQUESTS
 
     def decay(self, elapsed: float) -> None:
-        """Age what was seen by ``elapsed`` ms."""
+        """Decay the counts for ``elapsed`` ms."""
         keep = 1 - min(MAX_DECAY, elapsed / self._window_time)
         self._failures *= keep
         self._attempts *= keep
-        self._refresh()
+        self._update_ratio()
 
-    def _refresh(self) -> None:
+    def _update_ratio(self) -> None:
         self.value = self._failures / (self._attempts + PRIOR_SUCCESSES)
