--- a/load_balancer/policy/result_recorder.py
+++ b/load_balancer/policy/result_recorder.py
@@ -58,7 +58,7 @@
         if succeeded:
             self._latency.record_success(class_index, event.elapsed, self._overload.value)
         if succeeded or result is AttemptResult.TIMEOUT:
-            relative = self._latency.record_relative(
+            relative = self._latency.record_relative_latency(
                 class_index, tracked.endpoint.machine_type, event.elapsed
             )
             self._selector.record_slowness(tracked, relative)
