--- a/load_balancer/policy/fleet_capacity.py
+++ b/load_balancer/policy/fleet_capacity.py
@@ -1,4 +1,4 @@
-"""What all endpoints together can do."""
+"""Capacity of the whole fleet, and strength of each endpoint relative to the strongest one."""
 
 from __future__ import annotations
 
@@ -7,37 +7,46 @@
 from load_balancer.policy.latency import LatencyEstimator
 from load_balancer.policy.settings import Settings
 
-# Weights are read as requests served at once where their mean is within these; else their unit is unknown.
-MIN_CONCURRENT_WEIGHT, MAX_CONCURRENT_WEIGHT = 0.5, 8.0
+# If the mean weight is between these, a weight is the number of requests that an endpoint serves at once.
+# Otherwise the unit of the weights is unknown, and each endpoint counts as serving one request at a time.
+MIN_CONCURRENT_WEIGHT = 0.5
+MAX_CONCURRENT_WEIGHT = 8.0
 
 
 class FleetCapacity:
-    """Capacity of the fleet and strength of its endpoints, as of the last refresh."""
+    """Capacity of the fleet as of the last refresh.
+
+    Args:
+        settings: Number of nodes.
+        table: Endpoint table.
+        latency: Latency factors of the machine types.
+    """
 
     def __init__(self, settings: Settings, table: EndpointTable, latency: LatencyEstimator) -> None:
         self._node_count = settings.node_count
         self._table = table
         self._latency = latency
-        self._strongest = 1.0
+        self._max_strength = 1.0  # weight / latency factor of the strongest endpoint
         self.warm_endpoints = 1.0
-        """Number of ready endpoints, one that warms up counted by its capacity; at least 1."""
+        """Number of ready endpoints, at least 1; in slow start they count by their share of full capacity."""
         self.nominal_concurrency = 1.0
-        """Requests that they serve at once, this node's part."""
+        """Requests that the fleet serves at once, divided by the number of nodes."""
         self.mean_strength = 1.0
-        """Mean of ``strength`` over all endpoints."""
+        """Mean of ``strength`` over the ready endpoints."""
 
     def refresh(self, now: float) -> None:
-        """Recompute all of it at time ``now`` in ms."""
-        table, factors = self._table, self._latency.machine_type_factors
+        """Recompute the capacity at time ``now`` in ms."""
+        table, latency_factors = self._table, self._latency.machine_type_factors
         self.warm_endpoints = table.warm_endpoints(now)
-        self._strongest = table.strongest(factors) or self._strongest  # the list may give no weights
-        weight = table.mean_weight()
-        if not MIN_CONCURRENT_WEIGHT <= weight <= MAX_CONCURRENT_WEIGHT:
-            weight = 1.0
-        self.nominal_concurrency = weight * self.warm_endpoints / self._node_count
-        self.mean_strength = table.mean_strength(factors) / self._strongest
+        # Keeps the last value while no ready endpoint has a weight above 0.
+        self._max_strength = table.strongest(latency_factors) or self._max_strength
+        concurrency_per_endpoint = table.mean_weight()
+        if not MIN_CONCURRENT_WEIGHT <= concurrency_per_endpoint <= MAX_CONCURRENT_WEIGHT:
+            concurrency_per_endpoint = 1.0
+        self.nominal_concurrency = concurrency_per_endpoint * self.warm_endpoints / self._node_count
+        self.mean_strength = table.mean_strength(latency_factors) / self._max_strength
 
     def strength(self, endpoint: Endpoint) -> float:
-        """What an endpoint can do by weight and machine type, in parts of the strongest one."""
-        factor = self._latency.machine_type_factors.get(endpoint.machine_type, 1.0)
-        return endpoint.weight / factor / self._strongest
+        """Return the capacity of an endpoint by weight and machine type; the strongest endpoint has 1."""
+        latency_factor = self._latency.machine_type_factors.get(endpoint.machine_type, 1.0)
+        return endpoint.weight / latency_factor / self._max_strength
