--- a/load_balancer/policy/time_scale.py
+++ b/load_balancer/policy/time_scale.py
@@ -1,16 +1,17 @@
-"""How fast overload has to be seen, by the latency objectives of a deployment.
+"""Time scale of overload detection, from the latency objectives of the request classes.
 
-Scaled are the update interval and the windows of overload, concurrency and failure ratio.
+It is a factor on the update interval and on the windows of the overload, concurrency and failure ratio
+estimates.
 """
 
 from __future__ import annotations
 
 from load_balancer.policy.settings import Settings
 
-REFERENCE_OBJECTIVE = 400.0  # ms; the time constants fit classes with this objective
+REFERENCE_OBJECTIVE = 400.0  # ms; latency objective that the unscaled time constants are for
 
 
 def time_scale(settings: Settings) -> float:
-    """Factor on those, 1 at most: a stricter objective wants a quicker reaction."""
+    """Return the factor, at most 1: stricter latency objectives need a faster reaction."""
     strictest = min(request_class.latency_objective for request_class in settings.classes)
     return min(1.0, strictest / REFERENCE_OBJECTIVE)
