--- a/load_balancer/policy/result_recorder.py
+++ b/load_balancer/policy/result_recorder.py
@@ -1,4 +1,7 @@
-"""Passes the result of an attempt on to the parts that learn from it, in the order that they depend on."""
+"""Result recording: passes the result of each attempt to the components that learn from it.
+
+The order of the calls matters, as components use values that others have just updated.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +17,12 @@
 from load_balancer.policy.settings import RequestClass
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 
-SAYS_NOTHING = frozenset({AttemptResult.CANCELLED, AttemptResult.NOT_SENT})
-"""Results that this node brought about itself."""
+LOCAL_RESULTS = frozenset({AttemptResult.CANCELLED, AttemptResult.NOT_SENT})
+"""Results that this node caused itself; nothing is learned from them."""
 
 
 class ResultRecorder:
-    """Knows which part learns what from a result."""
+    """Decides which components learn from which results."""
 
     def __init__(
         self,
@@ -40,17 +43,17 @@
     def record(
         self, tracked: TrackedEndpoint, request: PendingRequest, event: AttemptEnded, lost: bool, now: float
     ) -> None:
-        """Learn from a result at ``now`` ms.
+        """Record the result of an attempt.
 
         Args:
-            tracked: The endpoint.
-            request: The request.
-            event: The result.
-            lost: Whether the attempt timed out while later ones were answered.
-            now: Time on the policy's clock, ms.
+            tracked: Endpoint of the attempt.
+            request: Request of the attempt.
+            event: Event with the result.
+            lost: Whether the attempt timed out although the endpoint answered attempts sent after it.
+            now: Current time in ms on the policy's clock.
         """
         result, class_index = event.result, request.arrival.class_index
-        if result in SAYS_NOTHING:
+        if result in LOCAL_RESULTS:
             return
         succeeded = result is AttemptResult.SUCCESS
         self._retries.record_connection(result is AttemptResult.CONNECT_FAILED)
@@ -58,10 +61,10 @@
         if succeeded:
             self._latency.record_success(class_index, event.elapsed, self._overload.value)
         if succeeded or result is AttemptResult.TIMEOUT:
-            relative = self._latency.record_relative_latency(
+            relative_latency = self._latency.record_relative_latency(
                 class_index, tracked.endpoint.machine_type, event.elapsed
             )
-            self._selector.record_slowness(tracked, relative)
+            self._selector.record_slowness(tracked, relative_latency)
         self._record_timeliness(request, event, lost, now)
         if succeeded:
             self._outliers.record_success(tracked, class_index)
@@ -74,7 +77,7 @@
         request_class = self._classes[request.arrival.class_index]
         concurrency = self._overload.concurrency
         late = now - request.arrived_at > request_class.latency_objective
-        if not lost:  # a lost attempt says nothing of how long others take
+        if not lost:  # a lost attempt tells nothing about the latency of others
             concurrency.record_timeliness(late or event.result is AttemptResult.TIMEOUT)
         if event.result is AttemptResult.SUCCESS and (request_class.late_weight or not late):
             concurrency.record_useful_response(event.elapsed)
