--- a/load_balancer/policy/events.py
+++ b/load_balancer/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: what happened, as ``Policy.handle`` is told. Times are in milliseconds on the policy's clock."""
+"""Events: input of ``Policy.handle``. Times are in milliseconds on the policy's clock."""
 
 from __future__ import annotations
 
@@ -9,119 +9,124 @@
 
 
 class UpdateKind(IntEnum):
-    """How an update of the endpoint list came; the values are those of the simulator's wire."""
+    """Kind of an endpoint list update. The values are part of the simulator's wire format."""
 
     DELTA = 0
-    """Changed entries only."""
+    """Only the entries that changed."""
     SNAPSHOT = 1
-    """The complete list: an endpoint that is missing has been removed."""
+    """The complete list; an endpoint that is not in it has been removed."""
     CACHED_SNAPSHOT = 2
-    """The complete list as it was held before a restart."""
+    """The complete list as the node had it before it restarted."""
     UNAVAILABLE = 3
-    """A call failed or the watch broke; the list in force stays."""
+    """Discovery can't be reached: a call failed or the watch broke. The current list stays in use."""
 
 
 class AttemptResult(IntEnum):
-    """How an attempt ended; the values are those of the simulator's wire."""
+    """Result of an attempt. The values are part of the simulator's wire format."""
 
     SUCCESS = 1
     ERROR = 2
     """The endpoint answered with an error."""
     REJECTED = 3
-    """The endpoint turned the request away: full or draining."""
+    """The endpoint rejected the request because it is full or draining."""
     TIMEOUT = 4
     CONNECT_FAILED = 5
-    """No connection came up, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
     RESET = 6
     """The connection broke after the request was sent."""
     CANCELLED = 7
-    """By this node."""
+    """This node cancelled the attempt."""
     NOT_SENT = 8
-    """By this node, before anything was sent."""
+    """This node ended the attempt before sending anything."""
 
 
 NEVER_RAN = frozenset({AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT})
-"""Results that prove that the request did not run; REJECTED does not where ``rejected_may_have_run``."""
+"""Results that prove that the request has not run; not REJECTED if ``Settings.rejected_may_have_run``."""
 
 MAY_STILL_RUN = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED})
-"""Results after which the endpoint may still be at work on the request."""
+"""Results after which the endpoint may still be executing the request."""
 
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """A change of the endpoint list, or word that discovery can't be heard."""
+    """A change of the endpoint list, or a failure to reach discovery."""
 
     kind: UpdateKind
     version: int
+    """Version of the endpoint list."""
     endpoints: list[Endpoint]
     last_heard_at: float | None = None
-    """With UNAVAILABLE and CACHED_SNAPSHOT: time of the last word from discovery; None: now."""
+    """Time of the last message from discovery, for UNAVAILABLE and CACHED_SNAPSHOT; None means now."""
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; the policy owes it one final answer."""
+    """A client request has arrived; it must get exactly one final response."""
 
     request_id: int
     class_index: int
+    """Index into ``Settings.classes``."""
     deadline: float
-    """Time at which the client gives up."""
+    """Time after which the client no longer waits for a response."""
     key: int = 0
-    """Hash of what the request is about, for affinity and sequencing; 0: none. It is no idempotency key."""
+    """Hash of the key for affinity and sequencing; 0 if there is none. Not an idempotency key."""
     tenant: int = 0
+    """Index into ``Settings.tenant_quotas``."""
     cost_hint: float = 0.0
-    """Expected work in ms; 0: unknown."""
+    """Expected processing time in ms; 0 if unknown."""
     is_client_retry: bool = False
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The answer of a streamed class has begun; ignored by this policy, part of the simulator's wire."""
+    """A streamed response has started. Part of the simulator's wire format; this policy ignores it."""
 
     request_id: int
     attempt: int
     endpoint_id: int
     elapsed: float
-    """ms since the attempt was sent."""
+    """Time in ms since the attempt was sent."""
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has its result."""
+    """An attempt has ended."""
 
     request_id: int
     endpoint_id: int
     request_over: bool
-    """The request is over, by this result or before it."""
+    """Whether the request has ended, with this result or earlier."""
     result: AttemptResult
     attempt: int
-    """Number of the attempt among those of its request, from 0."""
+    """Number of the attempt within its request, from 0."""
     elapsed: float
-    """ms since the attempt was sent."""
+    """Time in ms since the attempt was sent."""
     load_report: tuple[float, ...] = ()
+    """Load values that the endpoint reported; this policy ignores them."""
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A health check has its result; ignored by this policy, part of the simulator's wire."""
+    """A health check has ended. Part of the simulator's wire format; this policy ignores it."""
 
     endpoint_id: int
     result: AttemptResult
     elapsed: float
-    """ms since it was sent."""
+    """Time in ms since the health check was sent."""
     load_report: tuple[float, ...] = ()
+    """Load values that the endpoint reported; this policy ignores them."""
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set by ``SetTimer`` is due."""
+    """A timer set by ``SetTimer`` has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class GossipReceived:
-    """A message of another node; ignored by this policy, part of the simulator's wire."""
+    """A message from another node. Part of the simulator's wire format; this policy ignores it."""
 
     sender: int
     payload: bytes
@@ -129,7 +134,7 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
-    """The client has left; no answer is owed any more."""
+    """The client has disconnected; the request needs no response any more."""
 
     request_id: int
 
