--- a/load_balancer/policy/commands.py
+++ b/load_balancer/policy/commands.py
@@ -1,4 +1,4 @@
-"""Commands: what ``Policy.handle`` decides, in the order to carry it out. Times are in milliseconds."""
+"""Commands: output of ``Policy.handle``, to be carried out in order. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -7,61 +7,63 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Forward the request to an endpoint."""
+    """Send the request to an endpoint."""
 
     request_id: int
     endpoint_id: int
     timeout: float
-    """ms after which the attempt ends as TIMEOUT, above 0."""
+    """Time in ms until the attempt ends with TIMEOUT; above 0."""
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: the request did not run, or running it again does no harm."""
+    """Final response: rejected; the request did not run, or running it again does no harm."""
 
     request_id: int
     retry_after: float
-    """ms that the client should wait before it retries; 0: it is told nothing."""
+    """Time in ms that the client should wait before it retries; 0 for no Retry-After."""
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, and the request may have run."""
+    """Final response: failed; the request may have run."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt in flight."""
 
     request_id: int
     attempt: int
+    """Number of the attempt within its request, from 0."""
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Report ``TimerFired`` with this token after the delay."""
+    """Send ``TimerFired`` with this token to the policy after the delay."""
 
     delay: float
+    """Time in ms until the timer fires."""
     token: int
 
 
 @dataclass(slots=True)
 class SendHealthCheck:
-    """Send a health check to an endpoint; never sent by this policy, part of the simulator's wire."""
+    """Send a health check. Part of the simulator's wire format; this policy never returns it."""
 
     endpoint_id: int
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Ask discovery for the endpoint list and for its changes from now on."""
+    """Fetch the endpoint list from discovery and watch it for changes."""
 
 
 @dataclass(slots=True)
 class WriteLog:
-    """Write a line to the log."""
+    """Write a message to the log."""
 
     message: str
 
