--- a/load_balancer/policy/settings.py
+++ b/load_balancer/policy/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a node: its request classes, limits and place in the fleet.
+"""Settings of a node: request classes, limits, and the position of the node among its peers.
 
-All times are in milliseconds. The names that the protocol and the configuration file use for these values are
-mapped in ``load_balancer.settings_decoder``.
+All times are in milliseconds. ``load_balancer.settings_decoder`` maps the names that the protocol and the
+configuration file use for these values.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request does."""
+    """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    """Any number of executions has the effect of one."""
+    """Repeated executions have the effect of one."""
     KEYED = "keyed"
-    """Requests carry an idempotency key; endpoints of one scope drop repeats for a while."""
+    """Requests carry an idempotency key by which the endpoints of one scope drop repeats for a while."""
     NOT_IDEMPOTENT = "not idempotent"
-    """Must never run twice."""
+    """Must not be executed more than once."""
 
 
 class DeduplicationScope(Enum):
-    """The endpoints that drop each other's repeats of a request with an idempotency key."""
+    """Scope within which endpoints recognize repeats of a request by its idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -37,22 +37,26 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests. Raises ValueError for a value that is out of range."""
+    """A class of requests with the same objectives and rules.
+
+    Raises:
+        ValueError: A value is out of range.
+    """
 
     latency_objective: float
-    """ms; a later answer is worth ``late_weight`` of the usual."""
+    """Latency in ms up to which a response has its full value; later ones keep ``late_weight`` of it."""
     deadline: float
-    """ms, at most, that clients of this class wait for an answer."""
+    """Maximum time in ms that clients of this class wait for a response."""
     priority_weight: float
-    """Value of an answer in time for each unit of work, compared with the other classes."""
+    """Relative value of a response in time per unit of work, compared with the other classes."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: float = 0.0
-    """ms in which repeats are dropped, from the first attempt that may have run."""
+    """Time in ms during which repeats are dropped, from the first attempt that may have run."""
     late_weight: float = 0.0
-    """Share of the weight that is left after the latency objective, 0 to 1."""
+    """Share of the priority weight that a response after the latency objective keeps, 0 to 1."""
     sequential_per_key: bool = False
-    """Requests of such classes that share a key run one at a time, in order of arrival."""
+    """Whether requests that share a key run one at a time in order of arrival, across all such classes."""
 
     def __post_init__(self) -> None:
         _check(self.latency_objective > 0, "classes[].latency_objective", self.latency_objective)
@@ -67,51 +71,55 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a node knows at its start. Raises ValueError for a value that is out of range."""
+    """Settings of a node.
+
+    Raises:
+        ValueError: A value is out of range.
+    """
 
     classes: tuple[RequestClass, ...]
     zone: int = 0
-    """The zone of this node."""
+    """Zone of this node."""
     node_count: int = 1
-    """Nodes in front of the same endpoints."""
+    """Number of nodes that balance load over the same endpoints."""
     node_index: int = 0
-    """The number of this node among them, from 0."""
+    """Index of this node among them, from 0."""
     tenant_quotas: tuple[float, ...] = ()
-    """Requests a second over all nodes, by tenant; empty: no quotas."""
+    """Requests per second over all nodes, by tenant; empty if there are no quotas."""
     over_quota_weight: float = 1.0
-    """Share of the priority weight that a request over its tenant's quota has, 0 to 1."""
+    """Share of the priority weight that a request over its tenant's quota keeps, 0 to 1."""
     endpoints_cache_keys: bool = False
-    """An endpoint that served a key lately serves it with less work."""
+    """Whether endpoints need less work for a key that they served recently."""
     endpoints_are_polled: bool = False
-    """The policy asks discovery again after it was unavailable; otherwise the caller does."""
+    """Whether the policy schedules the retries of failed discovery calls; otherwise the caller does."""
     poll_interval_limit: float = 10000.0
-    """ms within which discovery has to be asked again; the backoff between calls is a part of it."""
+    """Time in ms within which a failed discovery call must be retried; the backoff is a fraction of it."""
     stale_endpoints_limit: float = math.inf
-    """ms after the last word from discovery in which no missed drain can bind."""
+    """Time in ms after the last message from discovery in which no unseen drain can take effect."""
     tick: float = 1.0
-    """ms between two readings of the caller's clock, at most."""
+    """Maximum time in ms between two readings of the caller's clock."""
     can_cancel: bool = False
-    """Attempts can be cancelled."""
+    """Whether attempts in flight can be cancelled."""
     max_attempts: int = 1
-    """Attempts for one request, the first included."""
+    """Maximum number of attempts per request, including the first."""
     connect_timeout: float = 0.0
-    """ms that a new connection may take to come up."""
+    """Maximum time in ms for establishing a connection."""
     max_retry_after: float = 0.0
-    """ms that a rejected client may be told to stay away; 0: it is told nothing."""
+    """Maximum Retry-After in ms for rejected clients; 0 for none."""
     rejected_may_have_run: bool = False
-    """Endpoints also reject requests whose work they had begun."""
+    """Whether endpoints may reject requests that they have already begun to execute."""
     cross_zone_cost: float = 0.0
-    """Price of a request that crosses zones; above 0 idle endpoints of the own zone come first."""
+    """Cost of a request to another zone; if above 0, idle endpoints in the node's zone are preferred."""
     key_cooldown: float = 0.0
-    """ms that a sequential key pauses after an attempt that may still be running."""
+    """Time in ms for which a sequential key is blocked after an attempt that may still be running."""
     slow_start_initial: float = 1.0
-    """Share of its capacity that an endpoint has when it starts, above 0."""
+    """Share of its full capacity that an endpoint has when it starts; above 0, at most 1."""
     slow_start_duration: float = 0.0
-    """ms until a started endpoint has its whole capacity."""
+    """Time in ms from the start of an endpoint until it has its full capacity."""
     slow_start_overload_factor: float = 4.0
-    """A warming endpoint fails when it gets more than this multiple of its capacity."""
+    """Multiple of its current capacity above which an endpoint in slow start fails."""
     slow_start_overload_window: float = 1000.0
-    """ms over which that multiple is counted."""
+    """Time in ms over which the load for ``slow_start_overload_factor`` is measured."""
 
     def __post_init__(self) -> None:
         _check(len(self.classes) > 0, "classes", self.classes)
