--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""An endpoint as discovery lists it."""
+"""Entries of the endpoint list that discovery provides."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EndpointState(IntEnum):
-    """The state of an endpoint in the endpoint list; the values are those of the simulator's wire."""
+    """State of an endpoint in the endpoint list. The values are part of the simulator's wire format."""
 
     READY = 0
     REMOVED = 1
@@ -24,6 +24,6 @@
     cell: int
     state: EndpointState
     weight: float
-    """Relative capacity; where its mean is plausible it is read as requests served at once."""
+    """Relative capacity; with a plausible mean over all endpoints, the requests that it serves at once."""
     started_at: float
-    """Time of the last start in ms on the policy's clock; 0: long ago."""
+    """Time of the last start in ms on the policy's clock; 0 if it was long ago."""
