--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -136,8 +136,8 @@
             event: Event to handle.
 
         Raises:
-            UnknownClassError: The settings do not define the class of the request.
-            UnknownTenantError: The settings define quotas but none for the tenant of the request.
+            UnknownClassError: The request class is not defined in the settings.
+            UnknownTenantError: The settings have quotas, but none for the tenant of the request.
         """
         self._now = now
         commands = self._commands = []
--- a/load_balancer/policy/errors.py
+++ b/load_balancer/policy/errors.py
@@ -1,21 +1,21 @@
-"""Errors that the policy raises for events it can't handle."""
+"""Errors that the policy raises for events that it can't handle."""
 
 from __future__ import annotations
 
 
 class PolicyError(Exception):
-    """Base of the policy's errors."""
+    """Base class of the errors that the policy raises."""
 
 
 class UnknownClassError(PolicyError, LookupError):
-    """A request names a class that the settings do not have."""
+    """A request has a class that is not defined in the settings."""
 
     def __init__(self, class_index: int) -> None:
-        super().__init__(f"a request names class {class_index}, which the settings do not have")
+        super().__init__(f"request class {class_index} is not defined in the settings")
 
 
 class UnknownTenantError(PolicyError, LookupError):
-    """A request names a tenant that the settings do not have."""
+    """A request has a tenant that is not defined in the settings."""
 
     def __init__(self, tenant: int) -> None:
-        super().__init__(f"a request names tenant {tenant}, which the settings do not have")
+        super().__init__(f"tenant {tenant} is not defined in the settings")
