--- a/load_balancer/policy/__init__.py
+++ b/load_balancer/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a load-balancing proxy, as a library."""
+"""Load-balancing policy: the decisions of the proxy, without any I/O."""
 
 from load_balancer.policy.engine import Policy
 from load_balancer.policy.settings import Settings
