--- a/load_balancer/simulator/__init__.py
+++ b/load_balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that runs policies behind the binary protocol of the simulator."""
+"""Adapter that runs load-balancing policies behind the simulator's binary protocol."""
