--- a/load_balancer/simulator/__main__.py
+++ b/load_balancer/simulator/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m load_balancer.simulator`: answers the simulator's batches on standard input and output.
+"""`python -m load_balancer.simulator`: answers the simulator's batches over standard input and output.
 
-The exit status is 0 at the end of the input, 2 for input that can't be read.
+Exits with status 0 at the end of the input and with 2 if the input is malformed.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 
 def main() -> int:
-    """Serve standard input until it ends; returns the exit status."""
-    gc.freeze()  # what was imported lives until the end: the collector need not visit it
+    """Serve batches until standard input ends; returns the exit status."""
+    gc.freeze()  # imported objects live until the exit, so the garbage collector need not scan them
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
