--- a/load_balancer/simulator/batch_decoder.py
+++ b/load_balancer/simulator/batch_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the simulator's batches into the events of the policy."""
+"""Decodes the simulator's batches into events for the policies."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance starts, with a seed for its random numbers and settings of its own."""
+    """Start of an instance, with its settings and the seed of its random number generator."""
 
     seed: int
     settings: Settings
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceKilled:
-    """An instance is gone, with all that it knew."""
+    """End of an instance without notice; its state is lost."""
 
 
 InstanceEvent = Event | InstanceStarted | InstanceKilled
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class InstanceEvents:
-    """Events of a batch that follow each other and are for the same instance."""
+    """Consecutive events of a batch for the same instance."""
 
     instance: int
     events: list[InstanceEvent]
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class Batch:
-    """A decoded batch; all its events happen at `now`, ms."""
+    """A decoded batch; all its events happen at `now`, in ms of simulated time."""
 
     number: int
     now: float
@@ -78,26 +78,26 @@
 
 
 class BatchDecoder:
-    """Decodes batches one after the other.
+    """Decodes the batches of one input stream in order.
 
-    The numbered endpoint lists of a batch are kept, since later batches may refer to them.
+    Numbered endpoint lists are kept, because later batches may refer to them.
     """
 
     def __init__(self) -> None:
         self._endpoint_lists: dict[int, list[Endpoint]] = {}
 
     def decode(self, frame: bytes) -> Batch:
-        """Decode a frame.
+        """Decode the frame of one batch.
 
         Raises:
-            WireError: The frame is malformed, or the settings in it can't be used.
+            WireError: The frame is malformed, or the settings in it are invalid.
         """
         if len(frame) < BATCH_HEADER.size:
             raise WireError(f"batch header: {len(frame)} bytes where {BATCH_HEADER.size} are needed")
         number, length, now, count = BATCH_HEADER.unpack_from(frame)
         tail_start = BATCH_HEADER.size + count * EVENT_SIZE
         if length != len(frame) or tail_start > length:
-            raise WireError(f"batch {number}: {count} records do not fit a frame of {length} bytes")
+            raise WireError(f"batch {number}: {count} records do not fit into a frame of {length} bytes")
         reader = _RecordReader(frame, number, tail_start, self._endpoint_lists)
         return Batch(number, now, reader.read_all())
 
@@ -116,40 +116,40 @@
         self.endpoint_lists = endpoint_lists
 
     def read_all(self) -> list[InstanceEvents]:
-        """Decode all records in order; a decoder may refer to endpoint lists of earlier records."""
+        """Decode all records in order, since a record may refer to an endpoint list in an earlier one."""
         groups: list[InstanceEvents] = []
-        events: list[InstanceEvent] | None = None  # of the selected instance
+        events: list[InstanceEvent] | None = None  # of the selected instance; None before the first selection
         frame = self.frame
-        for at in range(BATCH_HEADER.size, self.tail_start, EVENT_SIZE):
-            code = frame[at]
+        for offset in range(BATCH_HEADER.size, self.tail_start, EVENT_SIZE):
+            code = frame[offset]
             decode_event = _EVENT_DECODERS.get(code)
             if decode_event is not None and events is not None:
-                events.append(decode_event(self, at))
+                events.append(decode_event(self, offset))
             elif code == EventCode.SELECT_INSTANCE:
-                (instance,) = unpack_select_instance(frame, at)
+                (instance,) = unpack_select_instance(frame, offset)
                 events = []
                 groups.append(InstanceEvents(instance, events))
             elif code == EventCode.ENDPOINT_LIST:
-                self._store_endpoint_list(at)
+                self._store_endpoint_list(offset)
             elif events is None:
-                raise self.error(at, f"event {code} before any Select")
+                raise self.error(offset, f"event code {code} before any Select record")
             else:
-                raise self.error(at, f"unknown event code {code}")
+                raise self.error(offset, f"unknown event code {code}")
         return groups
 
-    def error(self, at: int, message: str) -> WireError:
-        """An error in the record at this offset, to be raised."""
-        return WireError(f"batch {self.batch_number}, byte {at}: {message}")
+    def error(self, offset: int, message: str) -> WireError:
+        """Return the error to raise for the record at `offset`."""
+        return WireError(f"batch {self.batch_number}, byte {offset}: {message}")
 
-    def tail(self, at: int, start: int, length: int) -> bytes:
-        """The bytes that the record at `at` refers to."""
+    def tail(self, offset: int, start: int, length: int) -> bytes:
+        """Return the `length` bytes at `start` in the tail, to which the record at `offset` refers."""
         if self.tail_start + start + length > len(self.frame):
-            raise self.error(at, f"tail reference {start}+{length} is out of range")
+            raise self.error(offset, f"tail reference {start}+{length} is out of range")
         return self.frame[self.tail_start + start : self.tail_start + start + length]
 
-    def _store_endpoint_list(self, at: int) -> None:
-        list_number, start, count = unpack_endpoint_list(self.frame, at)
-        data = self.tail(at, start, count * ENDPOINT.size)
+    def _store_endpoint_list(self, offset: int) -> None:
+        list_number, start, count = unpack_endpoint_list(self.frame, offset)
+        data = self.tail(offset, start, count * ENDPOINT.size)
         entries = ENDPOINT.iter_unpack(data)
         self.endpoint_lists[list_number] = [self._endpoint(*entry) for entry in entries]
 
@@ -163,7 +163,7 @@
         weight: float,
         started_at: float,
     ) -> Endpoint:
-        state = _STATES.get(state_code)
+        state = _ENDPOINT_STATES.get(state_code)
         if state is None:
             raise WireError(
                 f"batch {self.batch_number}: endpoint {endpoint_id} has unknown state {state_code}"
@@ -171,14 +171,14 @@
         return Endpoint(endpoint_id, zone, machine_type, cell, state, weight, started_at)
 
 
-# A dict is quicker than the call of an enum for each record.
-_STATES = {state.value: state for state in EndpointState}
+# A dict lookup for each record is faster than a call of the enum class.
+_ENDPOINT_STATES = {state.value: state for state in EndpointState}
 _UPDATE_KINDS = {kind.value: kind for kind in UpdateKind}
-_RESULTS = {result.value: result for result in AttemptResult}
+_ATTEMPT_RESULTS = {result.value: result for result in AttemptResult}
 
 
-def _decode_request_arrived(reader: _RecordReader, at: int) -> RequestArrived:
-    fields = unpack_request_arrived(reader.frame, at)
+def _decode_request_arrived(reader: _RecordReader, offset: int) -> RequestArrived:
+    fields = unpack_request_arrived(reader.frame, offset)
     request_id, class_index, tenant, key, deadline, cost_hint, flags = fields
     return RequestArrived(
         request_id,
@@ -191,69 +191,69 @@
     )
 
 
-def _decode_attempt_ended(reader: _RecordReader, at: int) -> AttemptEnded:
-    fields = unpack_attempt_ended(reader.frame, at)
+def _decode_attempt_ended(reader: _RecordReader, offset: int) -> AttemptEnded:
+    fields = unpack_attempt_ended(reader.frame, offset)
     request_id, endpoint_id, request_over, result_code, attempt, elapsed, count, *values = fields
-    result = _RESULTS.get(result_code)
+    result = _ATTEMPT_RESULTS.get(result_code)
     if result is None or count > MAX_LOAD_REPORT_VALUES:
-        raise _result_error(reader, at, result_code, count)
+        raise _result_error(reader, offset, result_code, count)
     load_report = tuple(values[:count]) if count else ()
     return AttemptEnded(request_id, endpoint_id, request_over != 0, result, attempt, elapsed, load_report)
 
 
-def _decode_health_check_ended(reader: _RecordReader, at: int) -> HealthCheckEnded:
-    fields = unpack_health_check_ended(reader.frame, at)
+def _decode_health_check_ended(reader: _RecordReader, offset: int) -> HealthCheckEnded:
+    fields = unpack_health_check_ended(reader.frame, offset)
     endpoint_id, result_code, elapsed, count, *values = fields
-    result = _RESULTS.get(result_code)
+    result = _ATTEMPT_RESULTS.get(result_code)
     if result is None or count > MAX_LOAD_REPORT_VALUES:
-        raise _result_error(reader, at, result_code, count)
+        raise _result_error(reader, offset, result_code, count)
     load_report = tuple(values[:count]) if count else ()
     return HealthCheckEnded(endpoint_id, result, elapsed, load_report)
 
 
-def _result_error(reader: _RecordReader, at: int, result_code: int, count: int) -> WireError:
-    return reader.error(at, f"unknown outcome {result_code} or report of {count}")
+def _result_error(reader: _RecordReader, offset: int, result_code: int, count: int) -> WireError:
+    return reader.error(offset, f"unknown result {result_code} or load report length {count}")
 
 
-def _decode_endpoints_updated(reader: _RecordReader, at: int) -> EndpointUpdate:
-    kind_code, version, list_number = unpack_endpoints_updated(reader.frame, at)
+def _decode_endpoints_updated(reader: _RecordReader, offset: int) -> EndpointUpdate:
+    kind_code, version, list_number = unpack_endpoints_updated(reader.frame, offset)
     kind = _UPDATE_KINDS.get(kind_code)
     if kind is None:
-        raise reader.error(at, f"unknown list form {kind_code}")
+        raise reader.error(offset, f"unknown endpoint update kind {kind_code}")
     if kind is UpdateKind.UNAVAILABLE:
         return EndpointUpdate(kind, version, [])
     if list_number not in reader.endpoint_lists:
-        raise reader.error(at, f"list {list_number} was never given")
+        raise reader.error(offset, f"endpoint list {list_number} was not sent before")
     return EndpointUpdate(kind, version, reader.endpoint_lists[list_number])
 
 
-def _decode_instance_started(reader: _RecordReader, at: int) -> InstanceStarted:
-    seed, start, length = unpack_instance_started(reader.frame, at)
-    text = reader.tail(at, start, length)
+def _decode_instance_started(reader: _RecordReader, offset: int) -> InstanceStarted:
+    seed, start, length = unpack_instance_started(reader.frame, offset)
+    settings_json = reader.tail(offset, start, length)
     try:
-        return InstanceStarted(seed, read_settings(text))
+        return InstanceStarted(seed, read_settings(settings_json))
     except SettingsError as error:
-        raise reader.error(at, str(error)) from None
+        raise reader.error(offset, str(error)) from None
 
 
-def _decode_gossip_received(reader: _RecordReader, at: int) -> GossipReceived:
-    sender, start, length = unpack_gossip_received(reader.frame, at)
-    return GossipReceived(sender, reader.tail(at, start, length))
+def _decode_gossip_received(reader: _RecordReader, offset: int) -> GossipReceived:
+    sender, start, length = unpack_gossip_received(reader.frame, offset)
+    return GossipReceived(sender, reader.tail(offset, start, length))
 
 
-def _decode_response_started(reader: _RecordReader, at: int) -> ResponseStarted:
-    return ResponseStarted(*unpack_response_started(reader.frame, at))
+def _decode_response_started(reader: _RecordReader, offset: int) -> ResponseStarted:
+    return ResponseStarted(*unpack_response_started(reader.frame, offset))
 
 
-def _decode_timer_fired(reader: _RecordReader, at: int) -> TimerFired:
-    return TimerFired(*unpack_timer_fired(reader.frame, at))
+def _decode_timer_fired(reader: _RecordReader, offset: int) -> TimerFired:
+    return TimerFired(*unpack_timer_fired(reader.frame, offset))
 
 
-def _decode_request_cancelled(reader: _RecordReader, at: int) -> RequestCancelled:
-    return RequestCancelled(*unpack_request_cancelled(reader.frame, at))
+def _decode_request_cancelled(reader: _RecordReader, offset: int) -> RequestCancelled:
+    return RequestCancelled(*unpack_request_cancelled(reader.frame, offset))
 
 
-def _decode_instance_killed(reader: _RecordReader, at: int) -> InstanceKilled:
+def _decode_instance_killed(reader: _RecordReader, offset: int) -> InstanceKilled:
     return InstanceKilled()
 
 
--- a/tests/simulator/test_batch_decoder.py
+++ b/tests/simulator/test_batch_decoder.py
@@ -87,11 +87,11 @@
     ("frame", "word"),
     [
         (EVENTS[:10], "header"),
-        (EVENTS[:-1], "do not fit"),
+        (EVENTS[:-1], "do not fit into"),
         (EVENTS[:20] + b"\x63" + bytes(47) + EVENTS[68:], "before any Select"),
         (EVENTS[:68] + b"\x63" + EVENTS[69:], "unknown event code 99"),
         (ENDPOINT_LIST[:73] + b"\x00\x00\xff\xff" + ENDPOINT_LIST[77:], "out of range"),
-        (batch(SELECT_3, CACHED_UPDATE), "never given"),
+        (batch(SELECT_3, CACHED_UPDATE), "endpoint list 0 was not sent before"),
         (
             ENDPOINT_LIST[:164] + ENDPOINT_LIST[164:171] + b"\x00\x00\x09" + ENDPOINT_LIST[174:],
             "unknown state",
