--- a/load_balancer/simulator/host.py
+++ b/load_balancer/simulator/host.py
@@ -1,4 +1,4 @@
-"""Runs one policy for each instance of the simulator, and answers its batches. It decides nothing."""
+"""Runs one policy for each instance in the simulator and answers its batches; contains no policy logic."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class InstanceHost:
-    """Keeps the policies of all running instances, which share nothing."""
+    """Keeps the policies of all running instances; the policies share no state."""
 
     def __init__(self) -> None:
         self._policies: dict[int, Policy] = {}
 
     def answer(self, batch: Batch) -> bytes:
-        """Let the instances handle their events; returns the reply as a frame.
+        """Pass the events to the policies of their instances; returns the frame of the reply.
 
-        An exception in a policy ends the batch and is reported to the simulator.
+        If a policy raises an exception, the reply reports it and the rest of the batch is skipped.
 
         Raises:
             WireError: An event is for an instance that isn't running.
@@ -55,16 +55,16 @@
                 policy = None
                 self._policies.pop(instance, None)
             elif policy is None:
-                raise WireError(f"batch {batch.number}: instance {instance} was never started")
+                raise WireError(f"batch {batch.number}: instance {instance} is not running")
             else:
                 reply.add(instance, policy.handle(batch.now, event))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Answer the batches from `source` on `sink` until the input ends.
 
     Raises:
-        WireError: A batch is malformed or cut short.
+        WireError: A batch is malformed or truncated, or has an event for an instance that isn't running.
     """
     decoder = BatchDecoder()
     host = InstanceHost()
@@ -74,7 +74,7 @@
 
 
 def _read_frame(source: BinaryIO) -> bytes:
-    """The next frame; empty at the end of the input."""
+    """Return the next frame, or no bytes at the end of the input."""
     header_size = wire.BATCH_HEADER.size
     header = source.read(header_size)
     if not header:
@@ -83,8 +83,8 @@
         raise WireError(f"batch header: the input ends after {len(header)} of {header_size} bytes")
     number, length, _, _ = wire.BATCH_HEADER.unpack(header)
     if length < header_size:
-        raise WireError(f"batch {number}: a length of {length} is shorter than its header")
+        raise WireError(f"batch {number}: a frame length of {length} bytes is shorter than the header")
     body = source.read(length - header_size)
     if len(body) < length - header_size:
-        raise WireError(f"batch {number}: the input ends inside a frame of {length} bytes")
+        raise WireError(f"batch {number}: the input ends within a frame of {length} bytes")
     return header + body
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -40,8 +40,8 @@
     [
         (EMPTY_BATCH[:7], b"header"),
         (EMPTY_BATCH[:7] + b"\x02" + EMPTY_BATCH[8:], b"shorter"),
-        (EVENTS[:100], b"ends inside"),
-        (EVENTS, b"instance 3 was never started"),
+        (EVENTS[:100], b"ends within"),
+        (EVENTS, b"instance 3 is not running"),
     ],
 )
 def test_malformed_input_ends_with_one_line(data: bytes, words: bytes) -> None:
