--- a/load_balancer/simulator/reply_encoder.py
+++ b/load_balancer/simulator/reply_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes the policy's commands into the replies to the simulator."""
+"""Encodes the policies' commands into replies to the simulator."""
 
 from __future__ import annotations
 
@@ -30,42 +30,42 @@
     pack_write_log,
 )
 
-NO_INSTANCE = -1
+NO_INSTANCE = -1  # before the first selection
 
 
 class TailReference(NamedTuple):
-    """Where data is in the tail, in bytes."""
+    """Position of data in the tail: offset and length in bytes."""
 
     start: int
     length: int
 
 
 class ReplyEncoder:
-    """Collects the commands of the reply to one batch."""
+    """Builds the reply to one batch from the instances' commands."""
 
     def __init__(self, batch_number: int) -> None:
         self._batch_number = batch_number
         self._records: list[bytes] = []
         self._tail = bytearray()
-        self._selected = NO_INSTANCE
+        self._selected_instance = NO_INSTANCE
 
     def add(self, instance: int, commands: list[Command]) -> None:
-        """Append the commands of an instance."""
+        """Append the commands of one instance."""
         if not commands:
             return
-        if instance != self._selected:
+        if instance != self._selected_instance:
             self._select(instance)
         append, tail = self._records.append, self._tail
         for command in commands:
             append(_ENCODERS[type(command)](command, tail))
 
     def add_failure(self, instance: int, reason: str) -> None:
-        """Report that the decision code failed on behalf of an instance."""
+        """Append a report that the policy of an instance raised an exception."""
         self._select(instance)
         self._records.append(pack_report_failure(*_append_text(reason, self._tail)))
 
     def frame(self) -> bytes:
-        """The reply as a frame."""
+        """Return the frame of the reply."""
         body = b"".join(self._records)
         length = REPLY_HEADER.size + len(body) + len(self._tail)
         header = REPLY_HEADER.pack(self._batch_number, length, len(self._records))
@@ -73,7 +73,7 @@
 
     def _select(self, instance: int) -> None:
         self._records.append(pack_select_instance(instance))
-        self._selected = instance
+        self._selected_instance = instance
 
 
 def _encode_send_attempt(command: SendAttempt, tail: bytearray) -> bytes:
