--- a/load_balancer/simulator/wire_format.py
+++ b/load_balancer/simulator/wire_format.py
@@ -1,7 +1,7 @@
-"""The layout of the simulator's frames: codes and field layouts of all records, big-endian.
+"""Layout of the simulator's frames: codes and fields of all records, big-endian.
 
-A frame is a header, records of a fixed size that each begin with their code, and a tail for data of any
-length. The codes and layouts are the protocol's; times are in milliseconds.
+A frame consists of a header, records of fixed size that each begin with their code, and a tail that holds
+data of variable length. Codes and layouts are given by the simulator's protocol. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from struct import Struct
 
 EVENT_SIZE = 48
-"""Bytes of an event record."""
+"""Size of an event record in bytes."""
 
 MAX_LOAD_REPORT_VALUES = 4
-"""Values that a load report has room for."""
+"""Number of values that a load report has room for."""
 
 
 class EventCode(IntEnum):
-    """The first byte of an event record; beside it the protocol's name."""
+    """First byte of an event record; the comments give the protocol's names."""
 
     INSTANCE_STARTED = 1  # Born
     ENDPOINTS_UPDATED = 2  # BackendsChanged
@@ -36,7 +36,7 @@
 
 
 class CommandCode(IntEnum):
-    """The first byte of a command record; beside it the protocol's name."""
+    """First byte of a command record; the comments give the protocol's names."""
 
     SELECT_INSTANCE = 1  # Speaking
     CANCEL_ATTEMPT = 3  # Recall
@@ -51,22 +51,23 @@
 
 
 HAS_COST_HINT = 1
-"""Flag of a request: its cost hint is valid."""
+"""Request flag: the cost hint is valid."""
 
 IS_CLIENT_RETRY = 2
-"""Flag of a request: the client has sent it before."""
+"""Request flag: the client has sent the request before."""
 
 BATCH_HEADER = Struct(">IIdI")
-"""Batch number, length of the frame, time, number of records."""
+"""Batch number, length of the frame in bytes, time, number of records."""
 
 REPLY_HEADER = Struct(">III")
-"""Batch number, length of the frame, number of records."""
+"""Batch number, length of the frame in bytes, number of records."""
 
 ENDPOINT = Struct(">IBHHBfd")
-"""One entry of an endpoint list: id, zone, machine type, cell, state, weight, time of its start."""
+"""Entry of an endpoint list: id, zone, machine type, cell, state, weight, start time."""
 
-# Event records: a function for each that unpacks the fields after the code.
-# A tail reference is two fields: the offset from the start of the tail, and the length.
+# Functions that unpack the fields after the code of each event record; each docstring lists the fields.
+# Instances, requests and endpoints are given by their ids.
+# A tail reference is two fields: the offset from the start of the tail and the length, both in bytes.
 
 unpack_select_instance = Struct(">xH").unpack_from
 """instance"""
@@ -75,19 +76,19 @@
 """seed, tail reference of the settings"""
 
 unpack_endpoint_list = Struct(">xIII").unpack_from
-"""number of the list, tail reference of its entries, whose length is their number"""
+"""number of the list, tail reference of its entries (with their count in place of the length)"""
 
 unpack_endpoints_updated = Struct(">xBII").unpack_from
 """kind, version, number of the list"""
 
 unpack_request_arrived = Struct(">xQHIQddH").unpack_from
-"""request, class, tenant, key, deadline, cost hint, flags"""
+"""request, request class, tenant, key, deadline, cost hint, flags"""
 
 unpack_response_started = Struct(">xQBId").unpack_from
-"""request, attempt, endpoint, elapsed"""
+"""request, attempt, endpoint, elapsed time"""
 
 unpack_attempt_ended = Struct(">xQIBBBdB4f").unpack_from
-"""request, endpoint, whether the request is over, result, attempt, elapsed, load report"""
+"""request, endpoint, whether the request is over, result, attempt, elapsed time, load report"""
 
 unpack_request_cancelled = Struct(">xQ").unpack_from
 """request"""
@@ -96,17 +97,19 @@
 """token"""
 
 unpack_health_check_ended = Struct(">xIBdB4f").unpack_from
-"""endpoint, result, elapsed, load report"""
+"""endpoint, result, elapsed time, load report"""
 
 unpack_gossip_received = Struct(">xIII").unpack_from
 """sender, tail reference of the payload"""
 
 
 def _command_packer(code: CommandCode, layout: str) -> Callable[..., bytes]:
-    """A function that packs the fields of a command into its record, code and padding included."""
+    """Return a function that packs the fields of a command into its record, with code and padding."""
     return partial(Struct(f">B{layout}").pack, code.value)
 
 
+# Functions that pack the fields of each command into a record; each docstring lists the fields.
+
 pack_select_instance = _command_packer(CommandCode.SELECT_INSTANCE, "H21x")
 """instance"""
 
@@ -139,4 +142,4 @@
 
 
 class WireError(Exception):
-    """A frame, or the settings in it, that can't be read: what is wrong and where."""
+    """Malformed frame, or invalid settings in it; the message says what is wrong and where."""
