--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the node and of its policy at sizes that no deployment here has yet."""
+"""Benchmarks of the node and its policy at fleet sizes beyond those of current deployments."""
