--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""The fleets that are measured: endpoints in discovery's form and the policy's, settings, a configuration."""
+"""Synthetic fleets for the benchmarks: endpoints, settings and node configurations."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 MACHINE_TYPES = ("m1", "m2", "m3")
 ENDPOINTS_PER_CELL = 40
 FLEET_NODES = 7900
-"""Nodes of the fleet that docs/CAPACITY.md is about."""
+"""Number of nodes in the fleet that docs/CAPACITY.md plans for."""
 
-TOTAL_QUOTA = 690_000.0  # requests a second, split evenly over the tenants
-SNAPSHOT_CHUNK = 200  # entries that a snapshot is written in at a time
+TOTAL_QUOTA_PER_S = 690_000.0  # requests per second, split evenly among the tenants
+SNAPSHOT_CHUNK_ENTRIES = 200  # entries in one chunk of a snapshot
 
 
 def endpoint_name(number: int) -> str:
-    """The name of an endpoint; as in service, it tells nothing of the endpoint."""
+    """Return an endpoint's name: a hash of its number, which reveals no property, as in production."""
     return f"s-{(number * 2654435761) % (1 << 32):08x}"
 
 
 def discovery_entry(number: int, state: str = "active", started: float = 0.0) -> dict[str, Any]:
-    """An endpoint in discovery's form; `started` in ms of Unix time."""
+    """Return an endpoint as an entry of a discovery response; `started` is a Unix time in ms."""
     return {
         "instanceId": endpoint_name(number),
         "hostPort": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:9000",
@@ -41,19 +41,19 @@
 
 
 def snapshot_chunks(endpoints: int, version: int) -> Iterator[bytes]:
-    """The text of a snapshot in discovery's form, piece by piece."""
+    """Yield the JSON of a snapshot from discovery in chunks."""
     yield b'{"generation":%d,"reset":true,"instances":[' % version
-    for first in range(0, endpoints, SNAPSHOT_CHUNK):
-        numbers = range(first, min(first + SNAPSHOT_CHUNK, endpoints))
-        text = ",".join(json.dumps(discovery_entry(number), separators=(",", ":")) for number in numbers)
-        yield (b"," if first else b"") + text.encode()
+    for first in range(0, endpoints, SNAPSHOT_CHUNK_ENTRIES):
+        numbers = range(first, min(first + SNAPSHOT_CHUNK_ENTRIES, endpoints))
+        entries = ",".join(json.dumps(discovery_entry(number), separators=(",", ":")) for number in numbers)
+        yield (b"," if first else b"") + entries.encode()
     yield b"]}"
 
 
 def policy_endpoint(
     number: int, state: EndpointState = EndpointState.READY, started: float = 0.0
 ) -> Endpoint:
-    """The same endpoint in the policy's form; `started` in ms on the policy's clock."""
+    """Return the same endpoint as the policy has it; `started` is in ms on the policy's clock."""
     return Endpoint(
         id=stable_id(endpoint_name(number).encode()),
         zone=number % len(ZONES),
@@ -68,7 +68,7 @@
 def raw_settings(
     tenants: int = 8, classes: int = 3, node_index: int = 0, node_count: int = FLEET_NODES
 ) -> dict[str, Any]:
-    """The settings object of the protocol; the classes alternate in their idempotency."""
+    """Return the settings object for JSON; the request classes cycle through the kinds of idempotency."""
     return {
         "Allowed": {
             "ConnIdle": 15000.0,
@@ -81,7 +81,7 @@
         "Azs": ZONES,
         "Kinds": MACHINE_TYPES,
         "Classes": [_raw_class(i) for i in range(classes)],
-        "Customers": [{"Name": f"t{i}", "QuotaPerS": TOTAL_QUOTA / tenants} for i in range(tenants)],
+        "Customers": [{"Name": f"t{i}", "QuotaPerS": TOTAL_QUOTA_PER_S / tenants} for i in range(tenants)],
         "Discovery": "ask",
         "GroupSize": node_count,
         "Me": node_index,
@@ -113,7 +113,7 @@
 def policy_settings(
     tenants: int = 8, classes: int = 3, node_index: int = 0, node_count: int = FLEET_NODES
 ) -> Settings:
-    """The same settings in the policy's form."""
+    """Return the same settings as the policy has them."""
     raw = raw_settings(tenants, classes, node_index, node_count)
     return read_settings(json.dumps(raw).encode())
 
@@ -121,7 +121,7 @@
 def node_config(
     discovery_port: int, listen_port: int, node_index: int = 0, node_count: int = FLEET_NODES
 ) -> dict[str, Any]:
-    """The configuration file of one node on this machine."""
+    """Return the contents of the configuration file of a node on this machine."""
     return {
         "name": f"n{node_index}",
         "listen": f"127.0.0.1:{listen_port}",
