--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -22,7 +22,7 @@
 from benchmarks.discovery_stub import DiscoveryPlan
 from benchmarks.fleet import FLEET_NODES
 from benchmarks.policy_cost import Cost
-from benchmarks.report import ROOT, Row, growth_rows, show_table, write_json
+from benchmarks.report import REPOSITORY_ROOT, Row, growth_rows, show_table, write_json
 from benchmarks.slow_start import Scenario
 
 ENDPOINT_COUNTS = "200,2000,20000,95000"
@@ -98,7 +98,7 @@
 @click.option("--zone-lost", type=float, help="Seconds after which a zone goes at once.")
 @click.option("--node-count", default=FLEET_NODES, help="Nodes of the fleet in its configuration.")
 @click.option("--known", is_flag=True, help="Its configuration holds the list from before.")
-@click.option("--root", default=str(ROOT), help="Checkout whose node is measured.")
+@click.option("--root", default=str(REPOSITORY_ROOT), help="Checkout whose node is measured.")
 @json_option
 def node_command(
     sizes: list[int],
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Tables of results, the same as JSON, and how costs grow with size."""
+"""Output of results as tables and JSON, and the growth of costs with size."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 from benchmarks.policy_cost import Cost
 
-ROOT = Path(__file__).parent.parent
+REPOSITORY_ROOT = Path(__file__).parent.parent
 Row = Mapping[str, Any]
-"""A row of a table: by the heading of its column, a number or a text."""
+"""Row of a table: numbers and texts by the heading of their column."""
 
-_screen = Console(width=160)
+_console = Console(width=160)
 
 
 def show_table(title: str, rows: Sequence[Row], file: str | None = None) -> None:
-    """Print a table, and write it as JSON to a file with what is needed to repeat it."""
+    """Print a table and, if `file` is given, write its rows there as `write_json` does."""
     table = Table(title=title)
     for heading in rows[0]:
         table.add_column(heading.replace("_", " "), justify="right")
     for row in rows:
         table.add_row(*map(_format, row.values()))
-    _screen.print(table)
+    _console.print(table)
     if file:
         write_json(rows, file)
 
 
 def write_json(rows: Sequence[Row], file: str) -> None:
-    """Write rows, the command, the version of the code and that of Python."""
-    record = {"command": sys.argv[1:], "version": _commit(), "python": sys.version, "rows": rows}
+    """Write rows as JSON, with what a rerun needs: the command and the versions of the code and of Python."""
+    record = {"command": sys.argv[1:], "version": _commit_hash(), "python": sys.version, "rows": rows}
     Path(file).write_text(json.dumps(record, indent=1) + "\n")
 
 
 def growth_rows(costs: Iterable[Cost]) -> list[Row]:
-    """A row for each kind of work: its cost by size, and the power of the size that it grows with."""
+    """Return a row for each kind of work: its cost by size, and the exponent of its growth with size."""
     by_work: dict[str, dict[int, float]] = {}
     for cost in costs:
         by_work.setdefault(cost.work, {})[cost.size] = cost.ms
@@ -56,7 +56,7 @@
 
 
 def _growth_exponent(cost_by_size: dict[int, float]) -> float:
-    """Least squares over the logarithms of sizes and costs."""
+    """Return the slope of the least-squares line through the logarithms of sizes and costs."""
     points = [(math.log(size), math.log(max(cost, 1e-6))) for size, cost in cost_by_size.items()]
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
@@ -71,6 +71,8 @@
     return f"{value:.3g}" if abs(value) < 1000 else f"{value:.0f}"
 
 
-def _commit() -> str:
-    head = subprocess.run(["git", "rev-parse", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=False)
-    return head.stdout.strip()
+def _commit_hash() -> str:
+    result = subprocess.run(
+        ["git", "rev-parse", "HEAD"], cwd=REPOSITORY_ROOT, capture_output=True, text=True, check=False
+    )
+    return result.stdout.strip()
