--- a/benchmarks/process_usage.py
+++ b/benchmarks/process_usage.py
@@ -1,4 +1,4 @@
-"""What a process uses, by the count of the kernel."""
+"""Resource usage of a process, as the kernel counts it."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process used in some time."""
+    """Resource usage of a process within a period."""
 
     since: float
-    """Unix time of its start, s."""
+    """Unix time in s at which the period starts."""
     cpu_percent: float
-    """Of one core."""
+    """Processor time in percent of one core."""
     bytes_read_per_second: float
 
 
 async def measure_usage(process: psutil.Process, seconds: float) -> ProcessUsage:
-    """Let some seconds pass, and tell what the process used in them."""
+    """Wait for `seconds` and return what the process used in that time."""
     cpu_before, since = process.cpu_times(), time.time()
     io_before = process.io_counters()
     await asyncio.sleep(seconds)
@@ -36,12 +36,12 @@
 
 
 def resident_memory(process: psutil.Process) -> float:
-    """MB."""
+    """Return the resident memory in MB."""
     return float(process.memory_info().rss) / BYTES_PER_MB
 
 
 def peak_memory(pid: int) -> float:
-    """MB; 0 where the kernel doesn't tell."""
+    """Return the peak resident memory in MB, or 0 if the kernel doesn't report it."""
     status = Path(f"/proc/{pid}/status").read_text()
     match = re.search(r"VmHWM:\s+(\d+) kB", status)
     return int(match[1]) * 1024 / BYTES_PER_MB if match else 0.0
