--- a/benchmarks/stub_reports.py
+++ b/benchmarks/stub_reports.py
@@ -1,4 +1,4 @@
-"""What the discovery stub reports to the benchmark that started it: one JSON object a line."""
+"""Reports of the discovery stub to the benchmark that started it: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 @dataclass(frozen=True)
 class StubListening:
-    """The stub has its port; whether it accepts calls yet is for the plan to say."""
+    """The stub has chosen its port; it accepts calls unless its plan makes it unavailable at first."""
 
     port: int
 
 
 @dataclass(frozen=True)
 class StubAvailable:
-    """The stub accepts calls after its time of being unavailable."""
+    """The stub accepts calls, after a period of unavailability."""
 
     at: float
-    """Unix time, s."""
+    """Unix time in s."""
 
 
 @dataclass(frozen=True)
 class ChangeWritten:
-    """A change of the endpoint list is on its way to all watches."""
+    """The stub has made a change of the endpoint list and is about to send it to all watches."""
 
     version: int
     at: float
-    """Unix time, s."""
+    """Unix time in s."""
 
 
 @dataclass(frozen=True)
 class CallCounts:
-    """What the stub did, reported at its end."""
+    """Counts of calls and bytes, reported before the stub exits."""
 
     calls: int
     rejected: int
@@ -50,11 +50,11 @@
 
 
 def encode_report(report: StubReport) -> str:
-    """A report as one line."""
+    """Return a report as one line of JSON."""
     return json.dumps({"type": type(report).__name__, **asdict(report)})
 
 
 def decode_report(line: str) -> StubReport:
-    """The report in a line that `encode_report` made."""
+    """Return the report in a line that `encode_report` produced."""
     fields = json.loads(line)
     return _REPORT_TYPES[fields.pop("type")](**fields)
