--- a/benchmarks/child_process.py
+++ b/benchmarks/child_process.py
@@ -1,4 +1,4 @@
-"""Processes that a benchmark starts: the discovery stub and a node."""
+"""Child processes of the benchmarks: the discovery stub and a node."""
 
 from __future__ import annotations
 
@@ -26,42 +26,42 @@
 
 @dataclass(frozen=True, slots=True)
 class OutputLine:
-    """A line that a process wrote, and the Unix time in s at which it was read."""
+    """Line of output of a process, and the Unix time in s at which it was read."""
 
     at: float
     text: str
 
 
 class ChildProcess:
-    """A process with the lines that it writes; `port` is what it listens on."""
+    """Running process and its output so far; `port` is the port on which it listens."""
 
     def __init__(self, process: asyncio.subprocess.Process, output: asyncio.StreamReader | None) -> None:
         assert output is not None
         self.process = process
         self.port = 0
-        self.lines: list[OutputLine] = []
-        self._reading = asyncio.ensure_future(self._read(output))
+        self.output_lines: list[OutputLine] = []
+        self._read_task = asyncio.ensure_future(self._read(output))
 
-    async def ended(self) -> None:
-        """Wait for the end of the process and of its output."""
-        await self._reading
+    async def wait_until_exited(self) -> None:
+        """Wait until the process has exited and all of its output is read."""
+        await self._read_task
         await self.process.wait()
 
     async def _read(self, output: asyncio.StreamReader) -> None:
         while line := await output.readline():
-            self.lines.append(OutputLine(time.time(), line.decode()))
+            self.output_lines.append(OutputLine(time.time(), line.decode()))
 
 
 class DiscoveryStubProcess(ChildProcess):
-    """The discovery stub as a process; its lines are reports."""
+    """Process of the discovery stub, which writes reports to its output."""
 
     def reports(self, report_type: type[_Report]) -> list[_Report]:
-        """All reports of a type so far."""
-        decoded = [decode_report(line.text) for line in self.lines]
+        """Return all reports of a type so far."""
+        decoded = [decode_report(line.text) for line in self.output_lines]
         return [report for report in decoded if isinstance(report, report_type)]
 
     async def first_report(self, report_type: type[_Report]) -> _Report:
-        """Wait for the first report of a type."""
+        """Wait for the first report of a type and return it."""
         while not (reports := self.reports(report_type)):
             await asyncio.sleep(POLL_INTERVAL)
         return reports[0]
@@ -69,7 +69,7 @@
 
 @asynccontextmanager
 async def running_discovery_stub(plan: DiscoveryPlan) -> AsyncIterator[DiscoveryStubProcess]:
-    """Run the stub; after the block it has ended, and its last reports are there."""
+    """Run the stub; when the block ends, stop it and read its last reports."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -85,29 +85,29 @@
     finally:
         assert process.stdin is not None
         process.stdin.close()
-        await stub.ended()
+        await stub.wait_until_exited()
 
 
 @dataclass(frozen=True, slots=True)
 class NodeCommand:
-    """How a node is started."""
+    """Command, working directory and configuration with which a node is started."""
 
     command: list[str]
     root: str
-    """The checkout whose node it is."""
+    """Checkout from which the node is run; its working directory."""
     node_count: int
-    """Nodes of the fleet that it is configured for."""
+    """Number of nodes in the fleet, for the node's configuration."""
     cached_endpoints: int = 0
-    """Endpoints of the cached list in its configuration."""
+    """Number of endpoints in the cached endpoint list in the node's configuration; 0 for no list."""
 
 
 @asynccontextmanager
 async def running_node(command: NodeCommand, discovery_port: int) -> AsyncIterator[ChildProcess]:
-    """Run a node; it is killed after the block, if it still runs."""
-    port = free_port()
+    """Run a node; when the block ends, kill it if it is still running."""
+    port = find_free_port()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_bytes(_config_text(command, discovery_port, port))
+        path.write_bytes(_encode_config(command, discovery_port, port))
         process = await asyncio.create_subprocess_exec(
             *command.command,
             env=os.environ | {"ROUTER_CONFIG": str(path)},
@@ -121,17 +121,17 @@
         finally:
             if process.returncode is None:
                 process.kill()
-            await node.ended()
+            await node.wait_until_exited()
 
 
-def _config_text(command: NodeCommand, discovery_port: int, listen_port: int) -> bytes:
-    text = json.dumps(node_config(discovery_port, listen_port, node_count=command.node_count)).encode()
+def _encode_config(command: NodeCommand, discovery_port: int, listen_port: int) -> bytes:
+    encoded = json.dumps(node_config(discovery_port, listen_port, node_count=command.node_count)).encode()
     if command.cached_endpoints:
-        text = text[:-1] + b',"known":' + b"".join(snapshot_chunks(command.cached_endpoints, 1)) + b"}"
-    return text
+        encoded = encoded[:-1] + b',"known":' + b"".join(snapshot_chunks(command.cached_endpoints, 1)) + b"}"
+    return encoded
 
 
-def free_port() -> int:
-    """A port on this machine that nothing listens on."""
+def find_free_port() -> int:
+    """Return a port of this machine on which no process listens."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return int(listener.getsockname()[1])
--- a/benchmarks/node_process.py
+++ b/benchmarks/node_process.py
@@ -117,7 +117,7 @@
     """Microseconds from each change written after `since` to its line in the node's log."""
     delays = HdrHistogram(1, MAX_CHANGE_DELAY, SIGNIFICANT_DIGITS)
     written_at = {change.version: change.at for change in stub.reports(ChangeWritten)}
-    for line in node.lines:
+    for line in node.output_lines:
         match = re.search(r"endpoint list version (\d+) ", line.text)
         written = written_at.get(int(match[1])) if match else None
         if written is not None and written > since:
