--- a/benchmarks/discovery_stub.py
+++ b/benchmarks/discovery_stub.py
@@ -1,7 +1,7 @@
-"""A stub of the discovery service, after the protocol: snapshots, watches, a stream of changes.
+"""Stub of the discovery service: serves snapshots and watches, and generates a stream of changes.
 
-It runs as a process of its own, so that its work is not counted as the node's. Its argument is the plan as
-JSON; it ends when its standard input does, and reports on standard output (`stub_reports`).
+Runs as a separate process, so that its work is not counted as the node's. Takes its plan as JSON in the
+first argument, writes reports to standard output (see `stub_reports`), and exits when standard input ends.
 """
 
 from __future__ import annotations
@@ -28,36 +28,36 @@
     encode_report,
 )
 
-HEARTBEAT_INTERVAL = 2.0  # s between empty lines on a watch that has nothing to send
+HEARTBEAT_INTERVAL = 2.0  # s between empty lines on a watch without changes
 HEARTBEAT = b"\n"
-MAX_HISTORY = 5000  # changes that a watch may ask for from the past
+MAX_HISTORY = 5000  # past changes kept for watches; a watch from before them gets a snapshot
 ROLLOUT_INTERVAL = 1.0  # s between the steps of a rollout
-NO_CHANGES = 3600.0  # s
-LISTEN_BACKLOG = 4096
+IDLE_CHANGE_INTERVAL = 3600.0  # s between checks when no periodic changes are planned
+LISTEN_BACKLOG = 4096  # connections
 
 
 @dataclass(frozen=True)
 class DiscoveryPlan:
-    """What the stub serves. Times in s."""
+    """Fleet, changes and faults that the stub serves. Times are in s."""
 
     endpoints: int
     changes_per_second: float = 1.0
     rollout_share: float = 0.0
-    """Share of the fleet that each step of a rollout restarts; a step a second."""
+    """Share of the fleet that each step of a rollout restarts, once per second; 0 for no rollout."""
     zone_lost_after: float | None = None
-    """When all endpoints of one zone go at once."""
+    """Time from the start until all endpoints of one zone leave at once; None for never."""
     call_time: float = 0.0
-    """Each call takes so long, one after the other."""
+    """Time to process a call; calls are processed one after the other."""
     max_wait: float = 2.0
-    """Calls that have waited for longer get 503."""
+    """Calls that have waited for longer are answered with status 503."""
     unavailable_for: float = 0.0
-    """From the start, all connections are refused."""
+    """Time from the start during which all connections are refused."""
     seed: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of the endpoint list, encoded once for all watches."""
+    """Change of the endpoint list, encoded once for all watches."""
 
     version: int
     line: bytes
@@ -65,7 +65,7 @@
 
 @dataclass(eq=False)
 class Watch:
-    """A client that follows the changes after a version."""
+    """Connection of a client that receives all changes after `version`."""
 
     writer: asyncio.StreamWriter
     version: int
@@ -73,7 +73,7 @@
 
 
 class DiscoveryStub:
-    """The endpoint list, its history, and who watches it."""
+    """State of the stub: the endpoint list's version and history, its watches and the call counts."""
 
     def __init__(self, plan: DiscoveryPlan) -> None:
         self._plan = plan
@@ -85,7 +85,7 @@
         self._call_lock = asyncio.Lock()
 
     def call_counts(self) -> CallCounts:
-        """What was done so far."""
+        """Return the counts of calls and bytes so far."""
         return CallCounts(
             calls=self._counts["calls"],
             rejected=self._counts["rejected"],
@@ -94,8 +94,8 @@
             bytes_sent=self._counts["bytes"],
         )
 
-    async def make_changes(self) -> None:
-        """Change the list as planned, until cancelled."""
+    async def generate_changes(self) -> None:
+        """Make the planned changes of the endpoint list until cancelled."""
         plan, started, zone_lost = self._plan, time.monotonic(), False
         while True:
             await asyncio.sleep(self._change_interval())
@@ -107,18 +107,18 @@
             is_due = plan.zone_lost_after is not None and time.monotonic() - started > plan.zone_lost_after
             if is_due and not zone_lost:
                 zone_lost = True
-                self._lose_first_zone()
+                self._remove_first_zone()
 
     def _change_interval(self) -> float:
         if self._plan.rollout_share:
             return ROLLOUT_INTERVAL
-        return 1 / self._plan.changes_per_second if self._plan.changes_per_second else NO_CHANGES
+        return 1 / self._plan.changes_per_second if self._plan.changes_per_second else IDLE_CHANGE_INTERVAL
 
     def _restart(self, numbers: list[int]) -> None:
         now = time.time() * 1000
         self._write_change([discovery_entry(number, started=now) for number in numbers])
 
-    def _lose_first_zone(self) -> None:
+    def _remove_first_zone(self) -> None:
         numbers = range(0, self._plan.endpoints, len(ZONES))
         self._write_change([discovery_entry(number, "left") for number in numbers])
 
@@ -127,12 +127,12 @@
         update = {"generation": self._version, "reset": False, "instances": entries}
         line = json.dumps(update, separators=(",", ":")).encode() + b"\n"
         self._history.append(Change(self._version, line))
-        report(ChangeWritten(self._version, time.time()))
+        write_report(ChangeWritten(self._version, time.time()))
         for watch in self._watches:
             watch.changed.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the one request of a connection."""
+        """Answer the only request of a connection."""
         try:
             target = (await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode()
             await self._answer(target, writer)
@@ -149,14 +149,14 @@
         self._counts["watches" if is_watch else "snapshots"] += 1
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         if is_watch:
-            await self._follow(Watch(writer, version=int(target.rpartition("=")[2])))
+            await self._serve_watch(Watch(writer, version=int(target.rpartition("=")[2])))
         else:
             await self._send_snapshot(writer)
             writer.write(b"0\r\n\r\n")
             await writer.drain()
 
     async def _admit_call(self) -> bool:
-        """Let a call wait for those before it, and take its time; False if it has waited for too long."""
+        """Wait for earlier calls and for the call's own time; returns False if the wait was too long."""
         self._counts["calls"] += 1
         if not self._plan.call_time:
             return True
@@ -173,11 +173,11 @@
         return True
 
     async def _send_snapshot(self, writer: asyncio.StreamWriter) -> None:
-        """Send the list as at the start; its changes come on the watch, which begins at version 1."""
+        """Send the initial endpoint list, of version 1; the client gets later changes through its watch."""
         for chunk in snapshot_chunks(self._plan.endpoints, 1):
             await self._send_chunk(writer, chunk)
 
-    async def _follow(self, watch: Watch) -> None:
+    async def _serve_watch(self, watch: Watch) -> None:
         self._watches.add(watch)
         try:
             if self._history and watch.version < self._history[0].version - 1:
@@ -205,32 +205,32 @@
         await writer.drain()
 
 
-def report(message: StubReport) -> None:
-    """Write a report to standard output."""
-    print(encode_report(message), flush=True)
+def write_report(report: StubReport) -> None:
+    """Write a report as a line to standard output."""
+    print(encode_report(report), flush=True)
 
 
 async def run(plan: DiscoveryPlan) -> None:
-    """Serve until standard input ends."""
+    """Serve the plan until standard input ends."""
     stub = DiscoveryStub(plan)
     server = await asyncio.start_server(stub.serve, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
     port = server.sockets[0].getsockname()[1]
     if plan.unavailable_for:
         server.close()
-        report(StubListening(port))
+        write_report(StubListening(port))
         await asyncio.sleep(plan.unavailable_for)
         server = await asyncio.start_server(stub.serve, "127.0.0.1", port, backlog=LISTEN_BACKLOG)
-        report(StubAvailable(time.time()))
+        write_report(StubAvailable(time.time()))
     else:
-        report(StubListening(port))
-    changes = asyncio.ensure_future(stub.make_changes())
+        write_report(StubListening(port))
+    changes = asyncio.ensure_future(stub.generate_changes())
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
     changes.cancel()
-    report(stub.call_counts())
+    write_report(stub.call_counts())
 
 
 def main() -> None:
-    """Run the plan that the first argument holds."""
+    """Run the plan in the first argument, which is JSON."""
     uvloop.run(run(DiscoveryPlan(**json.loads(sys.argv[1]))))
 
 
