--- a/benchmarks/health_poller.py
+++ b/benchmarks/health_poller.py
@@ -1,4 +1,4 @@
-"""Polls a node's GET /_health: when it is ready, and how long its event loop stalls."""
+"""Polls GET /_health of a node to find when it is ready and how long its event loop stalls."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from hdrh.histogram import HdrHistogram
 
 POLL_INTERVAL = 0.01  # s
-MICROSECONDS = 1e6
-MAX_LATENCY = 60_000_000  # µs that the histogram has room for
+MICROSECONDS_PER_S = 1e6
+MAX_LATENCY = 60_000_000  # µs, upper limit of the histogram
 SIGNIFICANT_DIGITS = 3
 
 
 class HealthPoller:
-    """One connection after the other to a node, on which its health is asked for again and again."""
+    """Polls the health of a node over one connection at a time, and reconnects after errors."""
 
     def __init__(self, port: int) -> None:
         self.ready_at: float | None = None
-        """Unix time in s of the first answer with status 200."""
+        """Unix time in s of the first response with status 200; None before it."""
         self.paused = False
+        """Whether polls are suspended."""
         self._port = port
         self._latencies = HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
 
@@ -32,8 +33,8 @@
             except (ConnectionError, asyncio.IncompleteReadError):
                 await asyncio.sleep(POLL_INTERVAL)
 
-    def take_longest(self) -> float:
-        """The longest answer time since the last call, ms."""
+    def take_longest_latency(self) -> float:
+        """Return the longest response time in ms since the last call of this method."""
         longest = float(self._latencies.get_max_value()) / 1000
         self._latencies.reset()
         return longest
@@ -53,6 +54,6 @@
             await asyncio.sleep(POLL_INTERVAL)
 
     def _record(self, latency: float) -> None:
-        # Polls that were due during this one would have waited too: the histogram counts them as well.
-        microseconds = max(1, int(latency * MICROSECONDS))
-        self._latencies.record_corrected_value(microseconds, int(POLL_INTERVAL * MICROSECONDS))
+        # Polls that were due during this one would have waited as well, so the histogram counts them too.
+        microseconds = max(1, int(latency * MICROSECONDS_PER_S))
+        self._latencies.record_corrected_value(microseconds, int(POLL_INTERVAL * MICROSECONDS_PER_S))
--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -17,7 +17,7 @@
 from benchmarks.child_process import DiscoveryStubProcess, running_discovery_stub
 from benchmarks.discovery_stub import DiscoveryPlan
 from benchmarks.fleet import node_config
-from benchmarks.health_poller import MICROSECONDS, SIGNIFICANT_DIGITS
+from benchmarks.health_poller import MICROSECONDS_PER_S, SIGNIFICANT_DIGITS
 from benchmarks.process_usage import measure_usage, resident_memory
 from benchmarks.stub_reports import CallCounts, StubAvailable
 from load_balancer.policy.commands import Command
@@ -77,7 +77,7 @@
         for endpoint in endpoints:
             if endpoint.started_at:  # the stub makes a change by a restart
                 age = time.time() - (endpoint.started_at + unix_offset) / 1000
-                self._change_ages.record_value(max(1, int(age * MICROSECONDS)))
+                self._change_ages.record_value(max(1, int(age * MICROSECONDS_PER_S)))
 
 
 async def measure_mass_restart(plan: DiscoveryPlan, nodes: int, seconds: float) -> MassRestartCost:
@@ -100,8 +100,8 @@
         endpoints=plan.endpoints,
         listed_half=listed[len(listed) // 2],
         listed_all=listed[-1],
-        in_force_p50=change_ages.get_value_at_percentile(50) / MICROSECONDS,
-        in_force_worst=change_ages.get_max_value() / MICROSECONDS,
+        in_force_p50=change_ages.get_value_at_percentile(50) / MICROSECONDS_PER_S,
+        in_force_worst=change_ages.get_max_value() / MICROSECONDS_PER_S,
         calls=counts.calls,
         rejected_calls=counts.rejected,
         snapshots=counts.snapshots,
--- a/benchmarks/node_process.py
+++ b/benchmarks/node_process.py
@@ -24,7 +24,7 @@
     running_node,
 )
 from benchmarks.discovery_stub import DiscoveryPlan
-from benchmarks.health_poller import MICROSECONDS, SIGNIFICANT_DIGITS, HealthPoller
+from benchmarks.health_poller import MICROSECONDS_PER_S, SIGNIFICANT_DIGITS, HealthPoller
 from benchmarks.process_usage import measure_usage, peak_memory, resident_memory
 from benchmarks.stub_reports import CallCounts, ChangeWritten
 
@@ -76,7 +76,7 @@
     with _polling(poller):
         await _wait_until_ready(poller, started + MAX_READY_TIME)
         await asyncio.sleep(SETTLE_TIME)
-        stall_start = poller.take_longest()
+        stall_start = poller.take_longest_latency()
         poller.paused = True  # the cost of its answers is no part of the node at rest
         await asyncio.sleep(PAUSE_TIME)
         usage = await measure_usage(process, seconds)
@@ -95,7 +95,7 @@
             in_force_worst_ms=delays.get_max_value() / 1000,
             changes=delays.get_total_count(),
             stall_start_ms=stall_start,
-            stall_ms=poller.take_longest(),
+            stall_ms=poller.take_longest_latency(),
         )
 
 
@@ -121,5 +121,5 @@
         match = re.search(r"endpoint list version (\d+) ", line.text)
         written = written_at.get(int(match[1])) if match else None
         if written is not None and written > since:
-            delays.record_value(max(1, int((line.at - written) * MICROSECONDS)))
+            delays.record_value(max(1, int((line.at - written) * MICROSECONDS_PER_S)))
     return delays
