--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -1,7 +1,7 @@
-"""Many nodes without clients in one process: the discovery client, endpoint list and policy of each.
+"""Runs many hollow nodes, which have a discovery client and a policy but no clients, in one process.
 
-They show what a mass restart of nodes is to discovery and to the machine: how soon all have their endpoint
-list, and how soon a change is in force.
+Measures the load of a mass restart on discovery and on the machine, how soon all nodes have their endpoint
+list, and how soon a change of it is in force.
 """
 
 from __future__ import annotations
@@ -26,39 +26,41 @@
 from load_balancer.proxy.config import Config, read_config_text
 from load_balancer.proxy.node import Node
 
-POLL_INTERVAL = 0.05  # s between checks whether all nodes have their list
-MAX_CHANGE_AGE = 600_000_000  # µs that the histogram has room for
+POLL_INTERVAL = 0.05  # s between checks whether all nodes have their endpoint list
+MAX_CHANGE_AGE = 600_000_000  # µs, upper limit of the histogram
 
 
 @dataclass(frozen=True)
 class MassRestartCost:
-    """All nodes of one mass restart. Times in s."""
+    """Measurements of one mass restart, over all of its nodes. Times are in s."""
 
     nodes: int
     endpoints: int
     listed_half: float
-    """Until half of the nodes had their list, from when discovery was available."""
+    """Time from when discovery was available until half of the nodes had their endpoint list."""
     listed_all: float
-    """Infinite: not within the run."""
+    """Time until all nodes had their endpoint list; infinite if they had not within the run."""
     in_force_p50: float
-    """From a change at discovery to its being in force at a node."""
+    """Median time from a change at discovery until it is in force at a node."""
     in_force_worst: float
+    """Longest such time."""
     calls: int
+    """Calls to discovery."""
     rejected_calls: int
     snapshots: int
     memory_per_node: float
-    """MB."""
+    """Memory per node in MB."""
     cpu_per_node: float
-    """Percent of a core."""
+    """Processor time per node in percent of a core."""
 
 
 class HollowNode:
-    """A node that notes when it first heard from discovery, and the age of each change that reaches it."""
+    """Node without clients that records when it gets its endpoint list, and the age of each later change."""
 
     def __init__(self, config: Config, change_ages: HdrHistogram) -> None:
         self.node = Node(config, asyncio.get_running_loop())
-        self.listed_at: float | None = None
-        """Unix time in s of its first update from discovery."""
+        self.list_received_at: float | None = None
+        """Unix time in s of the first update from discovery; None before it."""
         self._change_ages = change_ages
         self._handle = self.node.policy.handle
         self.node.policy.handle = self._observe  # type: ignore[method-assign]
@@ -66,8 +68,8 @@
     def _observe(self, now: float, event: Event) -> list[Command]:
         commands = self._handle(now, event)
         if isinstance(event, EndpointUpdate) and event.last_heard_at is None and event.version:
-            if self.listed_at is None:
-                self.listed_at = time.time()
+            if self.list_received_at is None:
+                self.list_received_at = time.time()
             else:
                 self._record_ages(event.endpoints)
         return commands
@@ -75,22 +77,25 @@
     def _record_ages(self, endpoints: list[Endpoint]) -> None:
         unix_offset = self.node.endpoint_updater.unix_offset
         for endpoint in endpoints:
-            if endpoint.started_at:  # the stub makes a change by a restart
+            if endpoint.started_at:  # set for a restart, the only kind of change here
                 age = time.time() - (endpoint.started_at + unix_offset) / 1000
                 self._change_ages.record_value(max(1, int(age * MICROSECONDS_PER_S)))
 
 
 async def measure_mass_restart(plan: DiscoveryPlan, nodes: int, seconds: float) -> MassRestartCost:
-    """Start all nodes at once, and watch them for some seconds after the last has its list."""
+    """Start all nodes at once, and measure them for `seconds` once all have their endpoint list.
+
+    Nodes without a list delay the measurement by at most `seconds`.
+    """
     process = psutil.Process()
     change_ages = HdrHistogram(1, MAX_CHANGE_AGE, SIGNIFICANT_DIGITS)
     async with running_discovery_stub(plan) as stub:
         memory_before = resident_memory(process)
         hollow_nodes = [HollowNode(_config(stub.port, index, nodes), change_ages) for index in range(nodes)]
         available_at = await _start_all(hollow_nodes, plan, stub)
-        await _wait_until_listed(hollow_nodes, time.time() + seconds)
+        await _wait_for_endpoint_lists(hollow_nodes, time.time() + seconds)
         usage = await measure_usage(process, seconds)
-        listed = sorted(_time_to_list(node, available_at) for node in hollow_nodes)
+        list_delays = sorted(_endpoint_list_delay(node, available_at) for node in hollow_nodes)
         memory = resident_memory(process) - memory_before
         for hollow_node in hollow_nodes:
             hollow_node.node.close()
@@ -98,8 +103,8 @@
     return MassRestartCost(
         nodes=nodes,
         endpoints=plan.endpoints,
-        listed_half=listed[len(listed) // 2],
-        listed_all=listed[-1],
+        listed_half=list_delays[len(list_delays) // 2],
+        listed_all=list_delays[-1],
         in_force_p50=change_ages.get_value_at_percentile(50) / MICROSECONDS_PER_S,
         in_force_worst=change_ages.get_max_value() / MICROSECONDS_PER_S,
         calls=counts.calls,
@@ -116,7 +121,7 @@
 
 
 async def _start_all(nodes: list[HollowNode], plan: DiscoveryPlan, stub: DiscoveryStubProcess) -> float:
-    """Start the nodes; returns the Unix time from which discovery was available to them."""
+    """Start the nodes; returns the Unix time in s at which discovery became available to them."""
     available_at = time.time()
     for hollow_node in nodes:
         hollow_node.node.discovery.start()
@@ -125,10 +130,10 @@
     return available_at
 
 
-async def _wait_until_listed(nodes: list[HollowNode], end: float) -> None:
-    while time.time() < end and any(node.listed_at is None for node in nodes):
+async def _wait_for_endpoint_lists(nodes: list[HollowNode], end: float) -> None:
+    while time.time() < end and any(node.list_received_at is None for node in nodes):
         await asyncio.sleep(POLL_INTERVAL)
 
 
-def _time_to_list(node: HollowNode, available_at: float) -> float:
-    return node.listed_at - available_at if node.listed_at else float("inf")
+def _endpoint_list_delay(node: HollowNode, available_at: float) -> float:
+    return node.list_received_at - available_at if node.list_received_at else float("inf")
