--- a/benchmarks/node_process.py
+++ b/benchmarks/node_process.py
@@ -1,7 +1,7 @@
-"""A real node in front of the discovery stub: what it uses at rest, and how soon a change is in force.
+"""Measures a real node with the discovery stub: resource use at rest and delays until changes are in force.
 
-The node is measured from outside: its processor time and memory by the kernel's count, stalls of its event
-loop by how long GET /_health takes, changes by the lines of its log.
+The node is measured from outside: processor time and memory as the kernel counts them, stalls of the event
+loop by the response time of GET /_health, and changes of the endpoint list by the node's log lines.
 """
 
 from __future__ import annotations
@@ -28,40 +28,43 @@
 from benchmarks.process_usage import measure_usage, peak_memory, resident_memory
 from benchmarks.stub_reports import CallCounts, ChangeWritten
 
-MAX_READY_TIME = 60.0  # s after which a node that is not ready is given up
+READY_TIMEOUT = 60.0  # s to wait for a node to become ready
 READY_POLL_INTERVAL = 0.05  # s
-SETTLE_TIME = 3.0  # s after it is ready that are not measured
-PAUSE_TIME = 1.0  # s from the last poll of its health to the measurement at rest
-MAX_CHANGE_DELAY = 600_000_000  # µs that the histogram has room for
+SETTLE_TIME = 3.0  # s between readiness and the first measurement
+PAUSE_TIME = 1.0  # s between the last health poll and the measurement at rest
+MAX_CHANGE_DELAY = 600_000_000  # µs, upper limit of the histogram
 
 
 @dataclass(frozen=True)
 class NodeCost:
-    """One node with one fleet. Times in s but for those in ms, memory in MB, bytes from discovery."""
+    """Measurements of one node with one fleet. Times are in s unless in ms by name; memory is in MB."""
 
     endpoints: int
     ready: float
-    """From its start; infinite: never."""
+    """Time from the node's start until it is ready; infinite if it never is."""
     snapshots: int
-    """Fetched from discovery."""
+    """Snapshots fetched from discovery."""
     cpu_percent: float
-    """Of a core, once it is ready."""
+    """Processor time of the ready node in percent of a core."""
     memory: float
+    """Resident memory at the end of the run."""
     peak_memory: float
     bytes_per_s: float
-    """Once it is ready."""
+    """Bytes per second that the ready node reads from discovery."""
     in_force_p50_ms: float
-    """From a change written by discovery to its line in the node's log."""
+    """Median time from a change written by discovery to its line in the node's log."""
     in_force_worst_ms: float
+    """Longest such time."""
     changes: int
+    """Number of changes found in the node's log."""
     stall_start_ms: float
-    """The longest stall while it read the endpoint list."""
+    """Longest stall of the event loop while the node read the endpoint list."""
     stall_ms: float
-    """The longest stall after."""
+    """Longest stall after that."""
 
 
 async def measure_node(plan: DiscoveryPlan, command: NodeCommand, seconds: float) -> NodeCost:
-    """Measure one node, from its start to some seconds after it is ready."""
+    """Measure one node from its start; when ready, for `seconds` at rest and then `seconds` under polls."""
     async with running_discovery_stub(plan) as stub, running_node(command, stub.port) as node:
         cost = await _measure_running(plan, stub, node, seconds)
     [counts] = stub.reports(CallCounts)
@@ -74,10 +77,10 @@
     started, process = time.time(), psutil.Process(node.process.pid)
     poller = HealthPoller(node.port)
     with _polling(poller):
-        await _wait_until_ready(poller, started + MAX_READY_TIME)
+        await _wait_until_ready(poller, started + READY_TIMEOUT)
         await asyncio.sleep(SETTLE_TIME)
         stall_start = poller.take_longest_latency()
-        poller.paused = True  # the cost of its answers is no part of the node at rest
+        poller.paused = True  # the cost of its responses is not part of the use at rest
         await asyncio.sleep(PAUSE_TIME)
         usage = await measure_usage(process, seconds)
         poller.paused = False
@@ -114,7 +117,7 @@
 
 
 def _change_delays(stub: DiscoveryStubProcess, node: ChildProcess, since: float) -> HdrHistogram:
-    """Microseconds from each change written after `since` to its line in the node's log."""
+    """Return the delays in µs from each change written after `since` to its line in the node's log."""
     delays = HdrHistogram(1, MAX_CHANGE_DELAY, SIGNIFICANT_DIGITS)
     written_at = {change.version: change.at for change in stub.reports(ChangeWritten)}
     for line in node.output_lines:
