--- a/benchmarks/policy_cost.py
+++ b/benchmarks/policy_cost.py
@@ -1,7 +1,7 @@
-"""What the policy's control work costs at growing sizes: processor time of one call of each kind.
+"""Measures the cost of the policy's control work by fleet size: processor time per call of each kind.
 
-Times are of this process's processor alone, the best of several rounds of many calls, so that other load on
-the machine shows little; they are for ratios between sizes and versions.
+Times are processor time of this process, the best of several rounds of many calls, so that other load on the
+machine has little effect. They are meant for ratios between sizes and between versions of the code.
 """
 
 from __future__ import annotations
@@ -26,34 +26,34 @@
 )
 
 ROUNDS = 3
-UPDATE_SIZE = 250  # entries in one event, as the node hands a snapshot over
-PEAK_RATE = 87.0  # requests a second that a node of the whole fleet sees at the peak
-START = 1_000_000.0  # ms on the policy's clock
-UPKEEP_INTERVAL = 60.0  # ms: more than the policy lets pass between two refreshes of its averages
-SMALL_FLEET = 200  # endpoints where the size is a number of tenants or classes
-PRIME = 7919  # spreads consecutive numbers over a range
+UPDATE_SIZE = 250  # entries per event when the node passes a snapshot to the policy
+PEAK_RATE = 87.0  # requests per second at one node of the whole fleet at peak traffic
+START_TIME = 1_000_000.0  # ms on the policy's clock
+UPKEEP_INTERVAL = 60.0  # ms, longer than the policy's interval between refreshes of its averages
+SMALL_FLEET_ENDPOINTS = 200  # used where the cost is measured by tenants or request classes
+STRIDE = 7919  # prime that spreads consecutive numbers over a range
 
 
 @dataclass(frozen=True)
 class Cost:
-    """Processor time of one call."""
+    """Cost of one kind of work at one size."""
 
     work: str
     size: int
     ms: float
-    """MB where the work is memory."""
+    """Processor time of one call in ms; MB where the work is memory."""
 
 
 class MeasuredPolicy:
-    """A policy with a clock, fed with requests and endpoint updates."""
+    """Policy with a simulated clock, driven by requests and endpoint updates."""
 
     def __init__(self, settings: Settings) -> None:
-        self.now = START
+        self.now = START_TIME
         self._policy = Policy(settings, 1)
         self._request_ids = itertools.count()
 
     def load_endpoints(self, count: int) -> float:
-        """Give it an endpoint list as the node does, in parts; ms of the longest."""
+        """Apply an endpoint list in parts, as the node does; returns the longest part's time in ms."""
         longest = 0.0
         for first in range(0, count, UPDATE_SIZE):
             entries = [policy_endpoint(i) for i in range(first, min(first + UPDATE_SIZE, count))]
@@ -64,7 +64,7 @@
         return longest
 
     def serve(self, after: float, tenant: int = 0, class_index: int = 0) -> None:
-        """Let a request arrive after some ms, and answer it at once."""
+        """Advance the clock by `after` ms, then pass in a request whose attempts succeed at once."""
         self.now += after
         request_id = next(self._request_ids)
         arrived = RequestArrived(request_id, class_index, self.now + 900.0, tenant=tenant)
@@ -76,13 +76,13 @@
                 self._policy.handle(self.now, ended)
 
     def restart_endpoint(self, number: int) -> None:
-        """Tell it of one endpoint that has just started again."""
+        """Apply an update for an endpoint that has just restarted."""
         self.now += 10.0
         entry = policy_endpoint(number, started=self.now)
         self._policy.handle(self.now, EndpointUpdate(UpdateKind.DELTA, 2, [entry]))
 
     def add_and_remove_endpoint(self, number: int) -> None:
-        """Tell it of an endpoint that comes, then goes."""
+        """Apply one update that adds an endpoint and one that removes it."""
         self.now += 10.0
         entry = policy_endpoint(number)
         self._policy.handle(self.now, EndpointUpdate(UpdateKind.DELTA, 2, [entry]))
@@ -91,13 +91,13 @@
 
 
 def fleet_costs(endpoints: int) -> Iterator[Cost]:
-    """Memory, one change of the endpoint list and one request, by the number of endpoints."""
-    yield Cost("memory, MB", endpoints, _memory(endpoints))
-    policy = MeasuredPolicy(policy_settings())  # a new one: tracing memory takes time
+    """Measure memory, changes of the endpoint list and requests for a number of endpoints."""
+    yield Cost("memory, MB", endpoints, _policy_memory(endpoints))
+    policy = MeasuredPolicy(policy_settings())  # a new one, not slowed down by memory tracing
     yield Cost("longest part of the endpoint list", endpoints, policy.load_endpoints(endpoints))
     numbers = itertools.count()
     costs: list[tuple[str, Callable[[], None], int]] = [
-        ("one endpoint restarted", lambda: policy.restart_endpoint(next(numbers) * PRIME % endpoints), 50),
+        ("one endpoint restarted", lambda: policy.restart_endpoint(next(numbers) * STRIDE % endpoints), 50),
         (
             "one endpoint added, then removed",
             lambda: policy.add_and_remove_endpoint(endpoints + next(numbers)),
@@ -106,26 +106,26 @@
         ("request with upkeep", lambda: policy.serve(after=UPKEEP_INTERVAL), 100),
         ("request", lambda: policy.serve(after=0.01), 300),
     ]
-    for name, work, calls in costs:
-        yield Cost(name, endpoints, best_time(work, calls))
+    for work, function, calls in costs:
+        yield Cost(work, endpoints, best_time(function, calls))
 
 
 def tenant_cost(tenants: int) -> Cost:
-    """A request with upkeep, by the number of tenants."""
+    """Measure a request that includes upkeep (refreshes of averages) for a number of tenants."""
     policy = MeasuredPolicy(policy_settings(tenants=tenants))
-    policy.load_endpoints(SMALL_FLEET)
+    policy.load_endpoints(SMALL_FLEET_ENDPOINTS)
     numbers = itertools.count()
 
     def serve_one() -> None:
-        policy.serve(after=UPKEEP_INTERVAL, tenant=next(numbers) * PRIME % tenants)
+        policy.serve(after=UPKEEP_INTERVAL, tenant=next(numbers) * STRIDE % tenants)
 
     return Cost("upkeep by tenants", tenants, best_time(serve_one, 30))
 
 
 def class_cost(classes: int) -> Cost:
-    """A request with upkeep, by the number of classes."""
+    """Measure a request that includes upkeep (refreshes of averages) for a number of request classes."""
     policy = MeasuredPolicy(policy_settings(classes=classes))
-    policy.load_endpoints(SMALL_FLEET)
+    policy.load_endpoints(SMALL_FLEET_ENDPOINTS)
     numbers = itertools.count()
 
     def serve_one() -> None:
@@ -134,26 +134,26 @@
     return Cost("upkeep by classes", classes, best_time(serve_one, 30))
 
 
-def best_time(work: Callable[[], None], calls: int) -> float:
-    """Processor time of one call in ms, in the best of some rounds of so many calls."""
+def best_time(function: Callable[[], None], calls: int) -> float:
+    """Return the processor time of one call in ms, from the fastest of `ROUNDS` rounds of `calls` calls."""
     times = []
     for _ in range(ROUNDS):
         started = time.process_time()
         for _ in range(calls):
-            work()
+            function()
         times.append((time.process_time() - started) * 1000 / calls)
     return min(times)
 
 
-def _memory(endpoints: int) -> float:
-    """MB that a policy with some traffic holds."""
+def _policy_memory(endpoints: int) -> float:
+    """Return the memory in MB of a policy that has had some traffic."""
     gc.collect()
     tracemalloc.start()
     policy = MeasuredPolicy(policy_settings())
     policy.load_endpoints(endpoints)
-    for _ in range(200):  # so that the endpoints it works with have state
+    for _ in range(200):  # so that the endpoints in the node's subset have state
         policy.serve(after=1000 / PEAK_RATE)
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0]
+    traced_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return held / 1e6
+    return traced_bytes / 1e6
