--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -1,7 +1,7 @@
-"""How much an endpoint in slow start gets from all nodes together, in simulated time.
+"""Simulates how many attempts an endpoint in slow start receives from all nodes together.
 
-Each node is a policy of its own; nothing but the endpoints that all of them send to joins them. One endpoint
-starts at the begin of a quiet time, and a burst follows: then the nodes send what they had kept back.
+Each node has its own policy; the nodes share nothing but the endpoints. One endpoint starts at the beginning
+of a quiet period. In the burst that follows, the nodes use the attempts that their budgets have saved.
 """
 
 from __future__ import annotations
@@ -26,75 +26,76 @@
 from load_balancer.policy.settings import Idempotency, RequestClass, Settings
 
 STEADY_TIME = 20_000.0  # ms of steady traffic before the endpoint starts
-QUIET_TIME, BURST_TIME = 4_000.0, 4_000.0  # ms
-QUIET_FACTOR, BURST_FACTOR = 0.2, 2.0  # of the steady traffic
+QUIET_TIME, BURST_TIME = 4_000.0, 4_000.0  # ms, durations
+QUIET_FACTOR, BURST_FACTOR = 0.2, 2.0  # multiples of the steady traffic
 BURST_START = STEADY_TIME + QUIET_TIME
-MIN_ANSWER_TIME = 50.0  # ms
-CLIENT_DEADLINE = 900.0  # ms after the arrival of a request
+MIN_RESPONSE_TIME = 50.0  # ms
+CLIENT_DEADLINE = 900.0  # ms from the arrival of a request
 
-NEW_ENDPOINT = 1  # id of the endpoint that starts
-SLOW_START_INITIAL = 0.34
-SLOW_START_DURATION = 8800.0  # ms
+NEW_ENDPOINT = 1  # id of the endpoint in slow start
+SLOW_START_INITIAL = 0.34  # share of its capacity that an endpoint has when it starts
+SLOW_START_DURATION = 8800.0  # ms until an endpoint has its full capacity
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One start of an endpoint."""
+    """Fleet and traffic around the start of one endpoint."""
 
     nodes: int
     endpoints: int
-    """Those that are warmed up."""
+    """Number of warmed-up endpoints."""
     requests_per_second: float
-    """Steady traffic of all nodes."""
+    """Steady traffic of all nodes together."""
     utilization: float
     """Share of the warmed-up endpoints' capacity that the steady traffic uses."""
     overload_factor: float
-    """Of the settings: what an endpoint in slow start bears, by its capacity."""
+    """Setting of the policy: load that overloads an endpoint in slow start, as a multiple of its capacity."""
     drained_share: float = 0.0
-    """Share of the warmed-up endpoints that drain as the burst begins."""
+    """Share of the warmed-up endpoints that start to drain when the burst begins."""
     seed: int = 0
 
     @property
     def endpoint_capacity(self) -> float:
-        """Requests a ms that a warmed-up endpoint can serve."""
+        """Requests per ms that a warmed-up endpoint can serve."""
         return self.requests_per_second / 1000 / self.endpoints / self.utilization
 
 
 @dataclass(frozen=True)
 class WorstWindow:
-    """The window in which the new endpoint got most, beside what it bears."""
+    """Window with the most attempts at the new endpoint relative to what it can take."""
 
     nodes: int
     attempts: int
     allowed: float
-    """N: what it can serve in the window, times the overload factor."""
+    """Requests that the endpoint can serve in the window, times the overload factor (N)."""
     bound: float
-    """N with what is taken for chance."""
+    """Attempts that count as overload if exceeded: N and an allowance for random variation."""
     windows_over_bound: int
+    """Windows, one ending at each attempt, with more attempts than their bound."""
 
 
-def chance_bound(allowed: float) -> float:
-    """What N requests of mean work may become by chance."""
+def overload_bound(allowed: float) -> float:
+    """Return N + 2 sqrt(N) + 2: what N `allowed` requests of average cost may reach by random variation."""
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
 def simulate(scenario: Scenario) -> WorstWindow:
-    """Play one scenario."""
+    """Simulate one scenario and return its worst window."""
     return _Simulation(scenario).run()
 
 
 @dataclass(order=True, frozen=True, slots=True)
-class _Scheduled:
-    """An event for a node; of those at the same time, the one scheduled first comes first."""
+class _ScheduledEvent:
+    """Event for a node; events at the same time are ordered as they were scheduled."""
 
     at: float
-    number: int
+    sequence_number: int
     node: int = field(compare=False)
     event: Event = field(compare=False)
 
 
 class _AttemptWindow:
-    """The attempts at the new endpoint within the last `length` ms, and the worst such window so far."""
+    """Sliding window of `length` ms over the attempts at the new endpoint; keeps the worst window so far."""
 
     def __init__(self, length: float) -> None:
         self.length = length
@@ -104,11 +105,11 @@
         self._sent_at: deque[float] = deque()
 
     def add(self, now: float, allowed: float) -> None:
-        """Count an attempt, where `allowed` are allowed in the window."""
+        """Count an attempt at `now`, with `allowed` attempts allowed in the window that ends with it."""
         self._sent_at.append(now)
         while self._sent_at[0] <= now - self.length:
             self._sent_at.popleft()
-        attempts, bound = len(self._sent_at), chance_bound(allowed)
+        attempts, bound = len(self._sent_at), overload_bound(allowed)
         self.over_bound += attempts > bound
         if attempts / bound > self._worst_ratio:
             self._worst_ratio = attempts / bound
@@ -116,7 +117,7 @@
 
 
 class _Simulation:
-    """All nodes of a scenario, their endpoints, and what is scheduled."""
+    """State of a scenario: the nodes' policies, the endpoints and the scheduled events."""
 
     def __init__(self, scenario: Scenario) -> None:
         rng = random.Random(scenario.seed)
@@ -125,14 +126,15 @@
         self._policies = [
             Policy(replace(settings, node_index=node), rng.getrandbits(64)) for node in range(scenario.nodes)
         ]
-        self._warmed_up = [_endpoint(NEW_ENDPOINT + 1 + i) for i in range(scenario.endpoints)]
+        self._warm_endpoints = [_endpoint(NEW_ENDPOINT + 1 + i) for i in range(scenario.endpoints)]
         self._queue = self._schedule_arrivals(rng)
-        self._scheduled = len(self._queue)
-        self._busy_until: dict[int, float] = {}  # by endpoint
+        self._scheduled_count = len(self._queue)
+        self._busy_until: dict[int, float] = {}  # by endpoint id, ms
         self._window = _AttemptWindow(settings.slow_start_overload_window)
 
     def run(self) -> WorstWindow:
-        self._update_all(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, self._warmed_up))
+        """Process all events and return the worst window."""
+        self._update_all(0.0, EndpointUpdate(UpdateKind.SNAPSHOT, 1, self._warm_endpoints))
         started = drained = False
         while self._queue:
             next_event = heapq.heappop(self._queue)
@@ -150,15 +152,15 @@
             nodes=self._scenario.nodes,
             attempts=self._window.worst_attempts,
             allowed=allowed,
-            bound=chance_bound(allowed),
+            bound=overload_bound(allowed),
             windows_over_bound=self._window.over_bound,
         )
 
-    def _schedule_arrivals(self, rng: random.Random) -> list[_Scheduled]:
+    def _schedule_arrivals(self, rng: random.Random) -> list[_ScheduledEvent]:
         queue = []
         for number, at in enumerate(_arrival_times(rng, self._scenario.requests_per_second)):
             arrived = RequestArrived(number, 0, at + CLIENT_DEADLINE)
-            queue.append(_Scheduled(at, number, rng.randrange(self._scenario.nodes), arrived))
+            queue.append(_ScheduledEvent(at, number, rng.randrange(self._scenario.nodes), arrived))
         heapq.heapify(queue)
         return queue
 
@@ -172,33 +174,33 @@
 
     def _drain_endpoints(self, now: float) -> None:
         count = int(self._scenario.drained_share * self._scenario.endpoints)
-        drained = [replace(entry, state=EndpointState.DRAINING) for entry in self._warmed_up[:count]]
+        drained = [replace(entry, state=EndpointState.DRAINING) for entry in self._warm_endpoints[:count]]
         if drained:
             self._update_all(now, EndpointUpdate(UpdateKind.DELTA, 3, drained))
 
     def _send(self, now: float, node: int, command: SendAttempt) -> None:
-        """Let an endpoint serve an attempt after those that it has; schedule its end."""
+        """Queue an attempt at its endpoint, behind earlier attempts, and schedule the attempt's end."""
         is_new = command.endpoint_id == NEW_ENDPOINT
-        capacity = self._scenario.endpoint_capacity * (_warm_up(now) if is_new else 1.0)
+        capacity = self._scenario.endpoint_capacity * (_capacity_share(now) if is_new else 1.0)
         free_at = max(now, self._busy_until.get(command.endpoint_id, 0.0)) + 1 / capacity
         self._busy_until[command.endpoint_id] = free_at
-        self._schedule_end(now, node, command, answered_at=max(free_at, now + MIN_ANSWER_TIME))
+        self._schedule_end(now, node, command, responded_at=max(free_at, now + MIN_RESPONSE_TIME))
         if is_new:
             self._window.add(now, capacity * self._window.length * self._scenario.overload_factor)
 
-    def _schedule_end(self, now: float, node: int, command: SendAttempt, answered_at: float) -> None:
-        timed_out = answered_at > now + command.timeout
+    def _schedule_end(self, now: float, node: int, command: SendAttempt, responded_at: float) -> None:
+        timed_out = responded_at > now + command.timeout
         ended = AttemptEnded(
             request_id=command.request_id,
             endpoint_id=command.endpoint_id,
             request_over=not timed_out,
             result=AttemptResult.TIMEOUT if timed_out else AttemptResult.SUCCESS,
             attempt=0,
-            elapsed=answered_at - now,
+            elapsed=responded_at - now,
         )
-        self._scheduled += 1
-        at = now + command.timeout if timed_out else answered_at
-        heapq.heappush(self._queue, _Scheduled(at, self._scheduled, node, ended))
+        self._scheduled_count += 1
+        at = now + command.timeout if timed_out else responded_at
+        heapq.heappush(self._queue, _ScheduledEvent(at, self._scheduled_count, node, ended))
 
 
 def _settings(scenario: Scenario) -> Settings:
@@ -218,14 +220,14 @@
     return Endpoint(endpoint_id, 0, 0, 0, EndpointState.READY, 1.0, 0.0)
 
 
-def _warm_up(now: float) -> float:
-    """The share of its capacity that the new endpoint has."""
+def _capacity_share(now: float) -> float:
+    """Return the share of its full capacity that the new endpoint has at `now`."""
     grown = (1 - SLOW_START_INITIAL) * (now - STEADY_TIME) / SLOW_START_DURATION
     return min(1.0, SLOW_START_INITIAL + grown)
 
 
 def _arrival_times(rng: random.Random, per_second: float) -> list[float]:
-    """Times in ms of all requests."""
+    """Return the arrival times of all requests, in ms."""
     now, times = 0.0, []
     while now < BURST_START + BURST_TIME:
         now += rng.expovariate(per_second * _traffic_factor(now) / 1000)
@@ -234,6 +236,7 @@
 
 
 def _traffic_factor(now: float) -> float:
+    """Return the traffic at `now` as a multiple of the steady traffic."""
     if now < STEADY_TIME:
         return 1.0
     return QUIET_FACTOR if now < BURST_START else BURST_FACTOR
--- a/benchmarks/slow_start_chance.py
+++ b/benchmarks/slow_start_chance.py
@@ -6,7 +6,7 @@
 from bisect import bisect_left
 from dataclasses import dataclass
 
-from benchmarks.slow_start import chance_bound
+from benchmarks.slow_start import overload_bound
 from load_balancer.policy.slow_start_budget import GOLDEN_RATIO
 
 
@@ -35,7 +35,7 @@
     """The chance after so many windows in which nothing was sent."""
     allowed = attempts * overload_factor / 2
     spare = max(allowed - attempts, 0.0) + math.sqrt(allowed) + 1
-    bound = chance_bound(allowed)
+    bound = overload_bound(allowed)
     ready = attempts + min(spare, attempts * idle_windows)
     return OverloadChance(
         nodes=nodes,
