--- a/benchmarks/slow_start_chance.py
+++ b/benchmarks/slow_start_chance.py
@@ -1,4 +1,4 @@
-"""How likely all nodes together send an endpoint in slow start too much, by the binomial distribution."""
+"""Probability that all nodes together overload an endpoint in slow start, by the binomial distribution."""
 
 from __future__ import annotations
 
@@ -12,56 +12,62 @@
 
 @dataclass(frozen=True)
 class OverloadChance:
-    """How likely more comes in one window than an endpoint bears."""
+    """Probabilities of more attempts in one window than an endpoint in slow start can take."""
 
     nodes: int
     attempts: float
-    """In a window, as all nodes' budgets allow on average."""
+    """Attempts per window that all nodes' budgets allow on average."""
     allowed: float
-    """N: what the endpoint bears on average."""
+    """Attempts per window that the endpoint can take on average (N)."""
     chance_saved: float
-    """If each node keeps an earned attempt until it uses it."""
+    """Probability if each node keeps its earned attempts until it uses them."""
     chance_lapsing: float
-    """If an earned attempt lapses as in the policy, and the nodes' phases are random."""
+    """Probability if earned attempts lapse as in the policy and the phases of the nodes are random."""
     most_spread: int
-    """As in the policy, where the phases are evenly spread: the most that come at once."""
+    """Largest number of attempts at once in the policy, where the phases of the nodes are spread evenly."""
     bound: float
-    """What the endpoint bears with what is taken for chance."""
+    """Attempts per window that count as overload if exceeded: N and an allowance for random variation."""
 
 
 def overload_chance(
     nodes: int, attempts: float, overload_factor: float, idle_windows: float
 ) -> OverloadChance:
-    """The chance after so many windows in which nothing was sent."""
+    """Return the probabilities for the first window after `idle_windows` windows without attempts."""
     allowed = attempts * overload_factor / 2
-    spare = max(allowed - attempts, 0.0) + math.sqrt(allowed) + 1
+    max_saved = max(allowed - attempts, 0.0) + math.sqrt(allowed) + 1
     bound = overload_bound(allowed)
-    ready = attempts + min(spare, attempts * idle_windows)
+    available = attempts + min(max_saved, attempts * idle_windows)
     return OverloadChance(
         nodes=nodes,
         attempts=attempts,
         allowed=allowed,
-        chance_saved=_chance_above(bound, nodes, attempts * (1 + idle_windows)),
-        chance_lapsing=_chance_above(bound, nodes, ready),
-        most_spread=_most_at_once(nodes, min(1.0, ready / nodes)),
+        chance_saved=_probability_above(bound, nodes, attempts * (1 + idle_windows)),
+        chance_lapsing=_probability_above(bound, nodes, available),
+        most_spread=_max_simultaneous(nodes, min(1.0, available / nodes)),
         bound=bound,
     )
 
 
-def _chance_above(limit: float, nodes: int, mean: float) -> float:
-    """The chance that more than `limit` nodes send, if each sends with the same chance, `mean` on average."""
-    p = min(1.0, mean / nodes)
-    if p == 1.0:
+def _probability_above(limit: float, nodes: int, mean: float) -> float:
+    """Return the probability that more than `limit` nodes send, if `mean` of them do on average.
+
+    All nodes send independently and with the same probability.
+    """
+    p_send = min(1.0, mean / nodes)
+    if p_send == 1.0:
         return float(nodes > limit)
     terms = []
     for k in range(nodes + 1):
-        log_ways = math.lgamma(nodes + 1) - math.lgamma(k + 1) - math.lgamma(nodes - k + 1)
-        terms.append(math.exp(log_ways + k * math.log(p) + (nodes - k) * math.log1p(-p)))
+        log_binomial = math.lgamma(nodes + 1) - math.lgamma(k + 1) - math.lgamma(nodes - k + 1)
+        terms.append(math.exp(log_binomial + k * math.log(p_send) + (nodes - k) * math.log1p(-p_send)))
     return sum(term for k, term in enumerate(terms) if k > limit)
 
 
-def _most_at_once(nodes: int, share: float) -> int:
-    """Of phases at multiples of the golden ratio, modulo 1: the most within a share of the circle."""
+def _max_simultaneous(nodes: int, share: float) -> int:
+    """Return the largest number of nodes whose phases lie within an interval of length `share`.
+
+    The phases are the multiples of the golden ratio modulo 1, on a circle of circumference 1.
+    """
     phases = sorted(node * GOLDEN_RATIO % 1.0 for node in range(nodes))
-    twice_round = phases + [phase + 1.0 for phase in phases]
-    return max(bisect_left(twice_round, phase + share) - i for i, phase in enumerate(phases))
+    two_cycles = phases + [phase + 1.0 for phase in phases]
+    return max(bisect_left(two_cycles, phase + share) - i for i, phase in enumerate(phases))
