--- a/benchmarks/subsetting.py
+++ b/benchmarks/subsetting.py
@@ -1,4 +1,4 @@
-"""How evenly the subsets of all nodes cover the endpoints, and how far a change of the list moves them."""
+"""Measures how evenly subsets cover the endpoints, and how much changes of the endpoint list alter them."""
 
 from __future__ import annotations
 
@@ -9,36 +9,42 @@
 from load_balancer.policy.endpoints import EndpointState
 from load_balancer.policy.subsetting import subset_by_arc, subset_by_rank
 
-CHANGES = 8  # changes of the endpoint list, each one endpoint in and one out
-SAMPLED_NODES = 20  # nodes that are looked at where all would take too long
-REMOVED_STEP = 37  # numbers between endpoints that are removed
+CHANGES = 8  # changes of the endpoint list, each of which adds one endpoint and removes one
+SAMPLED_NODES = 20  # nodes examined where examining all would take too long
+REMOVAL_STRIDE = 37  # difference between the numbers of successively removed endpoints
 
 
 @dataclass(frozen=True)
 class Coverage:
-    """One method of subsetting, one size of fleet."""
+    """Results for one subsetting method and one fleet size."""
 
     method: str
-    """rank or arc."""
+    """Subsetting method: rank or arc."""
     endpoints: int
     nodes: int
     subsets: int
-    """Different ones."""
+    """Number of distinct subsets."""
     smallest: int
-    """Endpoints in a subset."""
+    """Endpoints in the smallest subset."""
     largest: int
+    """Endpoints in the largest subset."""
     nodes_per_endpoint: float
-    """Nodes that have an endpoint in their subset, on average."""
+    """Average number of nodes that have an endpoint in their subset."""
     load_max: float
-    """Of the endpoint with the most load, if all nodes send alike; 1 is the mean."""
+    """Highest load of an endpoint if all nodes send the same load; 1 is the mean."""
     load_p99: float
+    """99th percentile of the endpoints' loads."""
     load_min: float
+    """Lowest load of an endpoint."""
     churn: float
-    """Endpoints that a node adds or drops for one that comes and one that goes, on average."""
+    """Average number of endpoints that enter or leave a node's subset per addition and removal of one."""
 
 
 def measure_coverage(endpoints: int, nodes: int, by_rank: bool) -> Coverage:
-    """All nodes' subsets of one fleet, and after each of some changes those of a part of the nodes."""
+    """Compute the nodes' subsets of one fleet, and how those of a sample of the nodes change with the fleet.
+
+    By rank, the coverage is also computed from the sample only, since all nodes would take too long.
+    """
     subsetter = _Subsetter(endpoints, nodes, by_rank)
     sample = range(0, nodes, max(1, nodes // SAMPLED_NODES))
     covering_nodes = sample if by_rank else range(nodes)
@@ -61,7 +67,7 @@
 
 
 class _Subsetter:
-    """A fleet, divided into subsets by rank or by arc."""
+    """Fleet whose endpoints are divided into subsets by rank or by arc."""
 
     def __init__(self, endpoints: int, nodes: int, by_rank: bool) -> None:
         self.endpoints = endpoints
@@ -73,35 +79,35 @@
             self.table.put(policy_endpoint(number))
 
     def subset(self, node: int) -> list[int]:
-        """The ids of a node's subset."""
+        """Return the endpoint ids in a node's subset."""
         return self._choose(self.table, replace(self._settings, node_index=node), sparse=True).ids
 
     def change(self, number: int) -> None:
-        """Let an endpoint come and another one go."""
+        """Add one endpoint and remove another."""
         self.table.put(policy_endpoint(self.endpoints + number))
-        self.table.put(policy_endpoint(number * REMOVED_STEP, state=EndpointState.REMOVED))
+        self.table.put(policy_endpoint(number * REMOVAL_STRIDE, state=EndpointState.REMOVED))
 
 
 def _relative_loads(subsetter: _Subsetter, subsets: list[list[int]]) -> list[float]:
-    """Loads of the endpoints over their mean, in ascending order, if all nodes send alike."""
+    """Return the endpoints' loads relative to the mean, ascending, if all nodes send the same load."""
     loads: dict[int, float] = dict.fromkeys(subsetter.table.ids(), 0.0)
     for subset in subsets:
         for endpoint_id in subset:
             loads[endpoint_id] += 1 / len(subset)
-    # By rank only a part of the nodes is looked at: endpoints without any load are left out.
+    # By rank, only a sample of the nodes is examined, so endpoints outside their subsets are left out.
     covered = sorted(load for load in loads.values() if load or not subsetter.by_rank)
     mean = sum(covered) / len(covered)
     return [load / mean for load in covered]
 
 
 def _churn(subsetter: _Subsetter, nodes: range) -> float:
-    """Endpoints that change in a node's subset for each change of the list, on average."""
+    """Return the average number of endpoints that change in a node's subset with each change of the list."""
     before = {node: set(subsetter.subset(node)) for node in nodes}
-    moved = 0
+    changed = 0
     for number in range(CHANGES):
         subsetter.change(number)
         for node in nodes:
-            now = set(subsetter.subset(node))
-            moved += len(now ^ before[node])
-            before[node] = now
-    return moved / CHANGES / len(nodes)
+            after = set(subsetter.subset(node))
+            changed += len(after ^ before[node])
+            before[node] = after
+    return changed / CHANGES / len(nodes)
