--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,7 +1,7 @@
-"""The command line: `python -m benchmarks COMMAND`, `--help` for each; needs `requirements-bench.txt`.
+"""Command line of the benchmarks: `python -m benchmarks COMMAND`; requires `requirements-bench.txt`.
 
-Each command prints a table, and with `--json FILE` writes the figures, the version and the command to a file.
-The exit status is 0 when all was measured, 2 for arguments that can't be used, 1 for a part that did not end.
+Each command has a `--help` option and prints a table; with `--json FILE`, it writes the figures, the version
+and the command to a file. The exit status is 0 on success, 2 for invalid arguments, 1 if a measurement fails.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from benchmarks.slow_start import Scenario
 
 ENDPOINT_COUNTS = "200,2000,20000,95000"
-_progress = Console(stderr=True)
+_progress_console = Console(stderr=True)
 
 
 def parse_numbers(text: str) -> list[int]:
-    """Numbers with commas between them; digits may be grouped by underscores."""
+    """Parse integers separated by commas; underscores may group the digits."""
     try:
         return [int(word.replace("_", "")) for word in text.split(",")]
     except ValueError:
-        raise click.BadParameter(f"{text!r} is no list of numbers") from None
+        raise click.BadParameter(f"{text!r} is not a list of integers separated by commas") from None
 
 
 def numbers_option(name: str, variable: str, default: str, help_text: str = "") -> Callable[..., Any]:
-    """An option that takes a list of numbers."""
+    """Return an option that takes a list of integers."""
     return click.option(
         name, variable, type=parse_numbers, metavar="NUMBERS", default=default, help=help_text
     )
@@ -47,35 +47,35 @@
 def json_option(command: Callable[..., None]) -> Callable[..., None]:
     """Add the option `--json FILE`."""
     option = click.option(
-        "--json", "file", type=click.Path(dir_okay=False), help="Write the figures to FILE."
+        "--json", "file", type=click.Path(dir_okay=False), help="Write the figures to FILE as JSON."
     )
     return option(command)
 
 
-EXAMPLES = """Measures the node and its policy at the size of large fleets, on this machine alone.
+HELP_TEXT = """Measures the node and its policy at the sizes of large fleets, on this machine alone.
 
 \b
 python -m benchmarks policy  # control work of the policy, 200 to 95,000 endpoints
-python -m benchmarks node --sizes 200,95000  # a real node in front of a stub of discovery
+python -m benchmarks node --sizes 200,95000  # a real node with a stub of discovery
 python -m benchmarks mass-restart --nodes 300 --call-ms 10 --unavailable-for 5
-python -m benchmarks subsetting  # how evenly subsets cover 95,000 endpoints
-python -m benchmarks slow-start --nodes 5,30,200  # what a new endpoint gets from all nodes
-python -m benchmarks slow-start-chance  # how likely that is too much
+python -m benchmarks subsetting  # how evenly the subsets cover 95,000 endpoints
+python -m benchmarks slow-start --nodes 5,30,200  # attempts of all nodes at a new endpoint
+python -m benchmarks slow-start-chance  # probability that they overload it
 """
 
 
-@click.group(help=EXAMPLES, context_settings={"help_option_names": ["-h", "--help"], "show_default": True})
+@click.group(help=HELP_TEXT, context_settings={"help_option_names": ["-h", "--help"], "show_default": True})
 def main() -> None:
-    """The group of all commands."""
+    """Run one of the commands."""
 
 
 @main.command("policy")
-@numbers_option("--sizes", "sizes", ENDPOINT_COUNTS, "Endpoints.")
+@numbers_option("--sizes", "sizes", ENDPOINT_COUNTS, "Numbers of endpoints.")
 @numbers_option("--tenants", "tenants", "8,700,70000,700000")
 @numbers_option("--classes", "classes", "3,30,100,300")
 @json_option
 def policy_command(sizes: list[int], tenants: list[int], classes: list[int], file: str | None) -> None:
-    """Control work of the policy, ms of processor time a call, and how it grows."""
+    """Measure the policy's control work: processor time per call in ms, and its growth with size."""
     rows = _policy_rows("endpoints", sizes, policy_cost.fleet_costs)
     rows += _policy_rows("tenants", tenants, lambda count: [policy_cost.tenant_cost(count)])
     rows += _policy_rows("classes", classes, lambda count: [policy_cost.class_cost(count)])
@@ -83,22 +83,22 @@
         write_json(rows, file)
 
 
-def _policy_rows(what: str, counts: list[int], measure: Callable[[int], Iterable[Cost]]) -> list[Row]:
-    steps = track(counts, what, console=_progress, transient=True)
-    rows = growth_rows([cost for count in steps for cost in measure(count)])
-    show_table(f"by {what}", rows)
+def _policy_rows(size_name: str, counts: list[int], measure: Callable[[int], Iterable[Cost]]) -> list[Row]:
+    tracked_counts = track(counts, size_name, console=_progress_console, transient=True)
+    rows = growth_rows([cost for count in tracked_counts for cost in measure(count)])
+    show_table(f"by {size_name}", rows)
     return rows
 
 
 @main.command("node")
-@numbers_option("--sizes", "sizes", ENDPOINT_COUNTS, "Endpoints.")
-@click.option("--seconds", default=10.0, help="Measured, once it is ready.")
-@click.option("--rate", default=1.0, help="Changes a second.")
+@numbers_option("--sizes", "sizes", ENDPOINT_COUNTS, "Numbers of endpoints.")
+@click.option("--seconds", default=10.0, help="Seconds to measure once the node is ready.")
+@click.option("--rate", default=1.0, help="Changes per second.")
 @click.option("--rollout", default=0.0, help="Share of the fleet restarted each second.")
-@click.option("--zone-lost", type=float, help="Seconds after which a zone goes at once.")
-@click.option("--node-count", default=FLEET_NODES, help="Nodes of the fleet in its configuration.")
-@click.option("--known", is_flag=True, help="Its configuration holds the list from before.")
-@click.option("--root", default=str(REPOSITORY_ROOT), help="Checkout whose node is measured.")
+@click.option("--zone-lost", type=float, help="Seconds until all endpoints of a zone leave at once.")
+@click.option("--node-count", default=FLEET_NODES, help="Number of nodes in the node's configuration.")
+@click.option("--known", is_flag=True, help="Put a cached endpoint list into the node's configuration.")
+@click.option("--root", default=str(REPOSITORY_ROOT), help="Checkout from which the node is run.")
 @json_option
 def node_command(
     sizes: list[int],
@@ -111,10 +111,10 @@
     root: str,
     file: str | None,
 ) -> None:
-    """A real node in front of a stub of discovery."""
+    """Measure a real node with a stub of discovery."""
     arguments = [sys.executable, "-B", "-m", "load_balancer.proxy"]
     rows = []
-    for endpoints in track(sizes, "nodes", console=_progress, transient=True):
+    for endpoints in track(sizes, "nodes", console=_progress_console, transient=True):
         plan = DiscoveryPlan(endpoints, rate, rollout, zone_lost)
         command = NodeCommand(arguments, root, node_count, cached_endpoints=endpoints if known else 0)
         rows.append(asdict(uvloop.run(node_process.measure_node(plan, command, seconds))))
@@ -124,9 +124,9 @@
 @main.command("mass-restart")
 @numbers_option("--nodes", "node_counts", "100,300,1000")
 @click.option("--endpoints", default=200)
-@click.option("--call-ms", default=10.0, help="Time that discovery takes for each call in turn.")
-@click.option("--unavailable-for", default=0.0, help="Seconds in which discovery is down at first.")
-@click.option("--rate", default=1.0, help="Changes a second.")
+@click.option("--call-ms", default=10.0, help="Time in ms that discovery takes for each call, one at a time.")
+@click.option("--unavailable-for", default=0.0, help="Seconds at the start during which discovery is down.")
+@click.option("--rate", default=1.0, help="Changes per second.")
 @click.option("--seconds", default=10.0)
 @json_option
 def mass_restart_command(
@@ -138,9 +138,9 @@
     seconds: float,
     file: str | None,
 ) -> None:
-    """Many nodes without clients, in one process, that come to discovery at once."""
+    """Measure many nodes without clients, in one process, that connect to discovery at once."""
     rows = []
-    for nodes in track(node_counts, "mass restarts", console=_progress, transient=True):
+    for nodes in track(node_counts, "mass restarts", console=_progress_console, transient=True):
         plan = DiscoveryPlan(endpoints, rate, call_time=call_ms / 1000, unavailable_for=unavailable_for)
         rows.append(asdict(asyncio.run(hollow_nodes.measure_mass_restart(plan, nodes, seconds))))
     show_table(f"mass restarts with {endpoints} endpoints, calls of {call_ms:g} ms", rows, file)
@@ -149,10 +149,12 @@
 @main.command("slow-start")
 @numbers_option("--nodes", "node_counts", "5,30,200,2000")
 @click.option("--endpoints", default=10)
-@click.option("--rate", default=200.0, help="Requests a second, of all nodes.")
+@click.option("--rate", default=200.0, help="Requests per second of all nodes together.")
 @click.option("--utilization", default=0.7, help="Share of a warmed-up endpoint's capacity in use.")
-@click.option("--overload-factor", default=3.0, help="Of the settings: what overloads an endpoint.")
-@click.option("--drained", default=0.9, help="Share of the warmed-up endpoints that drain.")
+@click.option(
+    "--overload-factor", default=3.0, help="Load that overloads an endpoint, relative to its capacity."
+)
+@click.option("--drained", default=0.9, help="Share of the warmed-up endpoints that drain in the burst.")
 @click.option("--seeds", default=3)
 @json_option
 def slow_start_command(
@@ -165,9 +167,9 @@
     seeds: int,
     file: str | None,
 ) -> None:
-    """What an endpoint that has just started gets from all nodes together, in its worst window."""
+    """Simulate the attempts of all nodes at an endpoint that has just started, and show its worst window."""
     rows = []
-    for nodes in track(node_counts, "nodes", console=_progress, transient=True):
+    for nodes in track(node_counts, "nodes", console=_progress_console, transient=True):
         for seed in range(seeds):
             scenario = Scenario(nodes, endpoints, rate, utilization, overload_factor, drained, seed)
             rows.append(asdict(slow_start.simulate(scenario)))
@@ -177,19 +179,21 @@
 
 @main.command("slow-start-chance")
 @numbers_option("--nodes", "node_counts", "5,30,200,7900")
-@click.option("--attempts", default=5.0, help="In a window, on average.")
-@click.option("--overload-factor", default=3.0, help="Of the settings: what overloads an endpoint.")
-@click.option("--idle-windows", default=4.0, help="Windows in which nothing was sent.")
+@click.option("--attempts", default=5.0, help="Attempts of all nodes in a window, on average.")
+@click.option(
+    "--overload-factor", default=3.0, help="Load that overloads an endpoint, relative to its capacity."
+)
+@click.option("--idle-windows", default=4.0, help="Windows without attempts before the one considered.")
 @json_option
 def slow_start_chance_command(
     node_counts: list[int], attempts: float, overload_factor: float, idle_windows: float, file: str | None
 ) -> None:
-    """How likely all nodes together send a new endpoint too much, by the binomial distribution."""
+    """Compute the probability that the nodes overload a new endpoint, by the binomial distribution."""
     rows = [
         asdict(slow_start_chance.overload_chance(nodes, attempts, overload_factor, idle_windows))
         for nodes in node_counts
     ]
-    show_table("chance of more than N + 2 root N + 2 in one window", rows, file)
+    show_table("probability of more than N + 2 sqrt(N) + 2 attempts in one window", rows, file)
 
 
 @main.command("subsetting")
@@ -197,7 +201,7 @@
 @click.option("--nodes", default=FLEET_NODES)
 @json_option
 def subsetting_command(endpoints: int, nodes: int, file: str | None) -> None:
-    """How evenly all nodes' subsets cover the endpoints, and how far a change moves them: by rank, by arc."""
+    """Measure, by rank and by arc, how evenly the subsets cover the endpoints and how changes alter them."""
     rows = [asdict(subsetting.measure_coverage(endpoints, nodes, by_rank)) for by_rank in (True, False)]
     show_table(f"subsets of {nodes} nodes of {endpoints} endpoints", rows, file)
 
