--- a/benchmarks/policy_cost.py
+++ b/benchmarks/policy_cost.py
@@ -1,4 +1,4 @@
-"""Measures the cost of the policy's control work by fleet size: processor time per call of each kind.
+"""Measures how the cost of the policy's control work grows with size: processor time per call of each kind.
 
 Times are processor time of this process, the best of several rounds of many calls, so that other load on the
 machine has little effect. They are meant for ratios between sizes and between versions of the code.
@@ -53,7 +53,7 @@
         self._request_ids = itertools.count()
 
     def load_endpoints(self, count: int) -> float:
-        """Apply an endpoint list in parts, as the node does; returns the longest part's time in ms."""
+        """Apply an endpoint list in parts, like the node; returns the longest processor time per part, ms."""
         longest = 0.0
         for first in range(0, count, UPDATE_SIZE):
             entries = [policy_endpoint(i) for i in range(first, min(first + UPDATE_SIZE, count))]
