--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -1,7 +1,7 @@
 """Simulates how many attempts an endpoint in slow start receives from all nodes together.
 
 Each node has its own policy; the nodes share nothing but the endpoints. One endpoint starts at the beginning
-of a quiet period. In the burst that follows, the nodes use the attempts that their budgets have saved.
+of a quiet period. In the burst that follows, the nodes use the attempts saved in their budgets.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 CLIENT_DEADLINE = 900.0  # ms from the arrival of a request
 
 NEW_ENDPOINT = 1  # id of the endpoint in slow start
-SLOW_START_INITIAL = 0.34  # share of its capacity that an endpoint has when it starts
+SLOW_START_INITIAL = 0.34  # share of the full capacity that an endpoint has when it starts
 SLOW_START_DURATION = 8800.0  # ms until an endpoint has its full capacity
 
 
