--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -39,11 +39,11 @@
     listed_half: float
     """Time from when discovery was available until half of the nodes had their endpoint list."""
     listed_all: float
-    """Time until all nodes had their endpoint list; infinite if they had not within the run."""
+    """Time from when discovery was available until all nodes had it; infinite if not within the run."""
     in_force_p50: float
     """Median time from a change at discovery until it is in force at a node."""
     in_force_worst: float
-    """Longest such time."""
+    """Longest time from a change at discovery until it is in force at a node."""
     calls: int
     """Calls to discovery."""
     rejected_calls: int
