--- a/benchmarks/node_process.py
+++ b/benchmarks/node_process.py
@@ -54,7 +54,7 @@
     in_force_p50_ms: float
     """Median time from a change written by discovery to its line in the node's log."""
     in_force_worst_ms: float
-    """Longest such time."""
+    """Longest time from a change written by discovery to its line in the node's log."""
     changes: int
     """Number of changes found in the node's log."""
     stall_start_ms: float
