--- a/benchmarks/slow_start_chance.py
+++ b/benchmarks/slow_start_chance.py
@@ -49,7 +49,7 @@
 
 
 def _probability_above(limit: float, nodes: int, mean: float) -> float:
-    """Return the probability that more than `limit` nodes send, if `mean` of them do on average.
+    """Return the probability that more than `limit` nodes send an attempt, if `mean` of them do on average.
 
     All nodes send independently and with the same probability.
     """
