--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -53,7 +53,7 @@
 
 
 class HollowNode:
-    """A node that notes when it first heard from discovery, and the age of each change that reaches it."""
+    """A node that notes when its first update from discovery arrived, and the age of each later change."""
 
     def __init__(self, config: Config, change_ages: HdrHistogram) -> None:
         self.node = Node(config, asyncio.get_running_loop())
@@ -65,7 +65,7 @@
 
     def _observe(self, now: float, event: Event) -> list[Command]:
         commands = self._handle(now, event)
-        if isinstance(event, EndpointUpdate) and event.last_heard_at is None and event.version:
+        if isinstance(event, EndpointUpdate) and event.last_contact_at is None and event.version:
             if self.listed_at is None:
                 self.listed_at = time.time()
             else:
--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -292,7 +292,7 @@
     # Endpoint list.
 
     def _on_endpoint_update(self, event: EndpointUpdate) -> None:
-        retry_in = self._staleness.update(event.kind, event.last_heard_at, self._now)
+        retry_in = self._staleness.update(event.kind, event.last_contact_at, self._now)
         if retry_in is not None:
             self._commands.append(SetTimer(retry_in, WATCH_TIMER_TOKEN))
         if event.kind is UpdateKind.UNAVAILABLE:
--- a/load_balancer/policy/events.py
+++ b/load_balancer/policy/events.py
@@ -55,8 +55,8 @@
     version: int
     """Version of the endpoint list."""
     endpoints: list[Endpoint]
-    last_heard_at: float | None = None
-    """Time of the last message from discovery, for UNAVAILABLE and CACHED_SNAPSHOT; None means now."""
+    last_contact_at: float | None = None
+    """Time in ms of the last contact with discovery, for UNAVAILABLE and CACHED_SNAPSHOT; None means now."""
 
 
 @dataclass(slots=True)
--- a/load_balancer/policy/staleness.py
+++ b/load_balancer/policy/staleness.py
@@ -41,12 +41,12 @@
         self._backoff = self._poll_interval_limit / INITIAL_BACKOFF_DIVISOR
         self._stale_since = math.inf  # last contact with discovery, ms; inf: the list is up to date
 
-    def update(self, kind: UpdateKind, last_heard_at: float | None, now: float) -> float | None:
+    def update(self, kind: UpdateKind, last_contact_at: float | None, now: float) -> float | None:
         """Record an endpoint update.
 
         Args:
             kind: Kind of the update.
-            last_heard_at: Time in ms of the last contact with discovery, if it is unreachable; None: ``now``.
+            last_contact_at: Time in ms of the last contact with discovery, if unreachable; None: ``now``.
             now: Time on the policy's clock, ms.
 
         Returns:
@@ -56,7 +56,7 @@
         if kind in (UpdateKind.CACHED_SNAPSHOT, UpdateKind.UNAVAILABLE):
             if self._polled:
                 retry_in = self._next_backoff()
-            self._stale_since = min(self._stale_since, now if last_heard_at is None else last_heard_at)
+            self._stale_since = min(self._stale_since, now if last_contact_at is None else last_contact_at)
         else:
             self._stale_since = math.inf
             self._backoff = self._poll_interval_limit / RESET_BACKOFF_DIVISOR
--- a/load_balancer/proxy/discovery_client.py
+++ b/load_balancer/proxy/discovery_client.py
@@ -74,7 +74,7 @@
     ) -> None:
         self.address = address
         self.version: int | None = None  # of the current list; None: a snapshot is needed
-        self.last_heard_at = now_ms()
+        self.last_contact_at = now_ms()
         self.is_failing = False
         self._new_decoder = new_decoder
         self._on_update = on_update
@@ -108,8 +108,8 @@
         self.version = self._newest_version = None
         self._stale_snapshots = 0
         # The node counts as notified sooner after a reload, so the list becomes stale sooner by as much.
-        self.last_heard_at = min(
-            self.last_heard_at, now_ms() - (NOTIFIED_AFTER_S - NOTIFIED_AFTER_RELOAD_S) * 1000
+        self.last_contact_at = min(
+            self.last_contact_at, now_ms() - (NOTIFIED_AFTER_S - NOTIFIED_AFTER_RELOAD_S) * 1000
         )
         self._backoff.reset()
         self.is_failing = False
@@ -141,14 +141,14 @@
             host, port = self.address
             logger.warning("discovery at %s:%d: %s; keeping the current endpoint list", host, port, reason)
         if not self.is_failing:
-            self._on_availability_change(self.last_heard_at)
+            self._on_availability_change(self.last_contact_at)
         self._last_failure_reason = reason
         self.is_failing = True
 
     def _record_contact(self) -> None:
         if self.is_failing:
             self._on_availability_change(None)
-        self.last_heard_at = now_ms()
+        self.last_contact_at = now_ms()
         self.is_failing = False
 
     async def _fetch_snapshot(self) -> None:
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -283,11 +283,11 @@
         await self.endpoint_updater.apply(update)
         self.healthy = True
 
-    def _discovery_status_changed(self, last_heard_at: float | None) -> None:
-        """Tell the policy that discovery was last heard at this time in ms, or with None that it is back."""
-        kind = UpdateKind.DELTA if last_heard_at is None else UpdateKind.UNAVAILABLE
+    def _discovery_status_changed(self, last_contact_at: float | None) -> None:
+        """Tell the policy that discovery is unavailable since its last contact, or available if None."""
+        kind = UpdateKind.DELTA if last_contact_at is None else UpdateKind.UNAVAILABLE
         version = self.discovery.version or 0
-        self.policy_runner.submit(EndpointUpdate(kind, version, [], last_heard_at))
+        self.policy_runner.submit(EndpointUpdate(kind, version, [], last_contact_at))
 
     def _apply_cached_endpoints(self, load: Callable[[UpdateBuilder], DiscoveryUpdate | None]) -> None:
         version = self.endpoint_updater.apply_cached(load)
@@ -296,8 +296,8 @@
         self.healthy = True
         self.discovery.resume_from(version)
         # Submitted after the list, since each DELTA tells the policy that discovery is available.
-        last_heard_at = now_ms() - RESTART_DURATION_MS
-        self.policy_runner.submit(EndpointUpdate(UpdateKind.UNAVAILABLE, version, [], last_heard_at))
+        last_contact_at = now_ms() - RESTART_DURATION_MS
+        self.policy_runner.submit(EndpointUpdate(UpdateKind.UNAVAILABLE, version, [], last_contact_at))
 
 
 def _connection_limits(max_descriptors: int) -> ConnectionLimits:
--- a/tests/policy/driver.py
+++ b/tests/policy/driver.py
@@ -146,7 +146,7 @@
         return self.handle(EndpointUpdate(kind, 1, entries))
 
     def lose_discovery(self) -> list[object]:
-        """Tell the policy that discovery can't be heard."""
+        """Tell the policy that discovery is unavailable."""
         return self.handle(EndpointUpdate(UpdateKind.UNAVAILABLE, 0, []))
 
     def request(
--- a/tests/policy/test_staleness.py
+++ b/tests/policy/test_staleness.py
@@ -1,4 +1,4 @@
-"""The endpoint list while discovery can't be heard, and how it is asked for again."""
+"""The endpoint list while there is no contact with discovery, and how it is asked for again."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -132,8 +132,8 @@
     "timeout", ["WATCH_IDLE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "SNAPSHOT_TIMEOUT_S"]
 )
 def test_after_any_timeout_the_next_call_is_handled_before_a_change_counts_as_notified(timeout: str) -> None:
-    was_heard = timeout == "WATCH_IDLE_TIMEOUT_S"  # calls succeeded before: the backoff is the shortest
-    backoff = discovery.BACKOFF_INITIAL_S if was_heard else discovery.BACKOFF_MAX_S
+    had_contact = timeout == "WATCH_IDLE_TIMEOUT_S"  # calls succeeded before: the backoff is the shortest
+    backoff = discovery.BACKOFF_INITIAL_S if had_contact else discovery.BACKOFF_MAX_S
     longest_delay = backoff * max(discovery.BACKOFF_JITTER)
     assert getattr(discovery, timeout) + longest_delay + discovery.QUEUE_TIMEOUT_S <= NOTIFIED_AFTER_S
     assert discovery.QUEUE_TIMEOUT_S < discovery.FIRST_BYTE_TIMEOUT_S
@@ -161,7 +161,7 @@
     run(test())
 
 
-def test_the_policy_is_notified_when_discovery_fails_and_when_it_is_heard_again() -> None:
+def test_the_policy_is_notified_when_discovery_fails_and_when_it_is_available_again() -> None:
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             discovery = harness.node.discovery
@@ -172,7 +172,7 @@
             assert (lost.kind, lost.endpoints) == (
                 UpdateKind.UNAVAILABLE,
                 [],
-            ) and lost.last_heard_at == discovery.last_heard_at
+            ) and lost.last_contact_at == discovery.last_contact_at
             again = await harness.next_event(EndpointUpdate)
             assert (again.kind, again.version, again.endpoints) == (UpdateKind.DELTA, 1, [])
 
