--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -45,7 +45,7 @@
 from load_balancer.proxy.messages import UpstreamResponse
 from load_balancer.proxy.metrics import MetricsReporter
 from load_balancer.proxy.policy_runner import CommandHandlers, PolicyRunner
-from load_balancer.proxy.request_tracker import PendingRequest, RequestTracker
+from load_balancer.proxy.request_tracker import RequestTracker, TrackedRequest
 from load_balancer.proxy.upstream import UpstreamTarget
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 from load_balancer.proxy.upstream_pool import PoolLimits, UpstreamPool
@@ -123,7 +123,7 @@
         reload_configuration(environ, self.discovery)
 
     async def shut_down(self) -> None:
-        """Answer the requests in flight and those that still arrive, then close the node."""
+        """Respond to the requests in flight and those that still arrive, then close the node."""
         self.stopping = True
         longest_deadline = max(request_class.deadline for request_class in self.config.settings.classes)
         await drain_client_connections(self.listener, self.requests, longest_deadline)
@@ -187,10 +187,10 @@
     def _reject_request(self, command: RejectRequest) -> None:
         retry_after = command.retry_after / 1000
         headers = b"Retry-After: %.3f\r\n" % retry_after if retry_after else b""
-        self.requests.answer(command.request_id, 503, headers)
+        self.requests.respond(command.request_id, 503, headers)
 
     def _fail_request(self, command: FailRequest) -> None:
-        self.requests.answer(command.request_id, 502)
+        self.requests.respond(command.request_id, 502)
 
     def _cancel_attempt(self, command: CancelAttempt) -> None:
         self.pool.cancel(command.request_id, command.attempt)
@@ -207,13 +207,13 @@
         """Do nothing, since the node watches the endpoint list from its start."""
 
     def _abort_request(self, request_id: int) -> None:
-        """Answer a request with 500 after an exception in the policy or in a command, and cancel it."""
+        """Respond to a request with 500 after an exception in the policy or in a command, and cancel it."""
         pending = self.requests.pending.get(request_id)
         if pending is not None:
-            self.requests.answer(request_id, 500)
+            self.requests.respond(request_id, 500)
             self._cancel_request(request_id, pending)
 
-    def _cancel_request(self, request_id: int, pending: PendingRequest) -> None:
+    def _cancel_request(self, request_id: int, pending: TrackedRequest) -> None:
         self.policy_runner.submit(RequestCancelled(request_id))
         # The policy cancels attempts where the settings allow it. An attempt that has no connection yet must
         # not be sent in any case. Only the newest can lack one; -1, if there was none, matches no attempt.
--- a/load_balancer/proxy/request_tracker.py
+++ b/load_balancer/proxy/request_tracker.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class PendingRequest:
+class TrackedRequest:
     """Request that has no final response yet."""
 
     client: ClientConnection
@@ -33,7 +33,7 @@
     """Registers requests and writes the final response to each of them once."""
 
     def __init__(self) -> None:
-        self.pending: dict[int, PendingRequest] = {}
+        self.pending: dict[int, TrackedRequest] = {}
         self.last_request_id = 0
         self.latest_deadline = math.inf
         """Upper limit in ms, on the node's clock, of the deadlines of requests that arrive from now on."""
@@ -49,7 +49,7 @@
         request_id = client.request_id = self.last_request_id
         margin = min(RESPONSE_MARGIN_MS, RESPONSE_MARGIN_SHARE * request.timeout)
         deadline = min(request.received_at + request.timeout - margin, self.latest_deadline)
-        self.pending[request_id] = PendingRequest(client, request.message, deadline)
+        self.pending[request_id] = TrackedRequest(client, request.message, deadline)
         return RequestArrived(
             request_id,
             request.class_index,
@@ -60,11 +60,11 @@
             request.is_client_retry,
         )
 
-    def remove(self, request_id: int) -> PendingRequest | None:
+    def remove(self, request_id: int) -> TrackedRequest | None:
         """Remove a request without responding to it; returns it, or None if it was not pending."""
         return self.pending.pop(request_id, None)
 
-    def answer(self, request_id: int, status: int, headers: bytes = b"") -> None:
+    def respond(self, request_id: int, status: int, headers: bytes = b"") -> None:
         """Write a response with an empty body, if the request is still pending.
 
         ``headers`` holds additional header lines, each ending in CRLF.
@@ -74,7 +74,7 @@
             self.counters[f"responses {status}"] += 1
             pending.client.write_response(status, headers=headers)
 
-    def forward_response(self, pending: PendingRequest, response: UpstreamResponse) -> None:
+    def forward_response(self, pending: TrackedRequest, response: UpstreamResponse) -> None:
         """Write the response of an upstream to a request that has been removed from the tracker."""
         self.counters[f"responses {response.status}"] += 1
         pending.client.write_response(response.status, response.body, response.content_type)
--- a/tests/proxy/stubs.py
+++ b/tests/proxy/stubs.py
@@ -14,7 +14,7 @@
 WAIT = 10.0  # s to wait for what must happen; only a failing test reaches it
 
 Responder = Callable[["UpstreamStub", bytes, asyncio.StreamWriter], Awaitable[None]]
-"""Gets each request's head, and writes what the upstream answers."""
+"""Gets each request's head, and writes the response of the upstream."""
 
 
 async def respond_ok(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
@@ -29,7 +29,7 @@
 
 
 def respond_after(release: asyncio.Event) -> Responder:
-    """Answer 200 once the event is set."""
+    """Respond with 200 once the event is set."""
 
     async def respond(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -70,14 +70,14 @@
     run(test())
 
 
-def test_attempt_that_ends_after_the_final_answer_is_reported_to_the_policy_only() -> None:
+def test_attempt_that_ends_after_the_final_response_is_reported_to_the_policy_only() -> None:
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
         async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(make_request())
             await asyncio.wait_for(upstream.requests.get(), WAIT)
-            harness.node.requests.answer(harness.node.requests.last_request_id, 502)
+            harness.node.requests.respond(harness.node.requests.last_request_id, 502)
             harness.node.pool.cancel(harness.node.requests.last_request_id, 0)
             assert (await client.receive())[0] == 502
             ended = await harness.next_attempt_end()
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -35,7 +35,7 @@
 
 
 class RecordingScript:
-    """A script that answers each request and keeps the writer of its connection."""
+    """A script that responds to each request and keeps the writer of its connection."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
