--- a/load_balancer/proxy/client_connection.py
+++ b/load_balancer/proxy/client_connection.py
@@ -25,7 +25,7 @@
 
     healthy: bool
     """Whether health checks succeed."""
-    stopping: bool
+    shutting_down: bool
     """Whether the node is shutting down: health checks fail, connections close after their last response."""
 
     def on_request(self, connection: ClientConnection, request: ClientRequest) -> None:
@@ -237,7 +237,7 @@
             self._handler.on_request(self, request)
         elif isinstance(request, ErrorResponse):
             self.write_response(request.status, headers=request.headers)
-        elif self._handler.healthy and not self._handler.stopping:
+        elif self._handler.healthy and not self._handler.shutting_down:
             self.write_response(HTTPStatus.OK, b"ok\n", b"text/plain")
         else:
             self.write_response(HTTPStatus.SERVICE_UNAVAILABLE)
@@ -290,7 +290,7 @@
         """Whether the node keeps the connection open; requests that it has read are served first."""
         if self.queue or self.unparsed:
             return True
-        return not (self._handler.stopping or self._table.has_many_idle)
+        return not (self._handler.shutting_down or self._table.has_many_idle)
 
     def _close_after_response(self) -> None:
         """Close the sending side only; the listener's sweep closes the connection later.
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -86,7 +86,7 @@
         self.loop = loop
         self.healthy = False
         """Whether an endpoint list has been applied, so that requests can be served."""
-        self.stopping = False
+        self.shutting_down = False
         """Whether the graceful shutdown has begun."""
         self.policy = Policy(config.settings, config.seed)
         self.policy_runner = PolicyRunner(self.policy, self._command_handlers(), self._abort_request)
@@ -124,7 +124,7 @@
 
     async def shut_down(self) -> None:
         """Respond to the requests in flight and those that still arrive, then close the node."""
-        self.stopping = True
+        self.shutting_down = True
         longest_deadline = max(request_class.deadline for request_class in self.config.settings.classes)
         await drain_client_connections(self.listener, self.requests, longest_deadline)
         self.close()  # after the drain, since retries need the endpoint list until the last response
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -62,7 +62,7 @@
             client = await harness.connect()
             client.writer.write(make_request() + make_request() + make_request())
             await asyncio.wait_for(peer.requests.get(), WAIT)
-            harness.node.stopping = True
+            harness.node.shutting_down = True
             release.set()
             for connection in (None, None, b"close"):
                 status, head, _ = await client.receive()
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -44,7 +44,7 @@
 def test_connection_in_the_accept_backlog_is_served_when_the_listener_stops() -> None:
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
-            harness.node.stopping = True
+            harness.node.shutting_down = True
             waiting = connect_raw(harness)
             waiting.sendall(make_request())
             harness.node.listener.stop_accepting()
@@ -69,7 +69,7 @@
                 lambda: bool(harness.node.listener.connections.in_state(ConnectionState.RECEIVING))
             )
             shutdown = asyncio.ensure_future(harness.node.shut_down())
-            await wait_until(lambda: harness.node.stopping)
+            await wait_until(lambda: harness.node.shutting_down)
             client.writer.write(data[40:])
             forwarded = await asyncio.wait_for(upstream.requests.get(), WAIT)
             remaining = header(forwarded, b"Request-Timeout")
