--- a/load_balancer/proxy/messages.py
+++ b/load_balancer/proxy/messages.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-MAX_BODY = 65536  # bytes
-MAX_HEAD = 16384  # bytes of the start line and the header lines together
+MAX_BODY_SIZE = 65536  # bytes
+MAX_HEAD_SIZE = 16384  # bytes of the start line and the header lines together
 
 
 @dataclass(slots=True)
--- a/load_balancer/proxy/request_parser.py
+++ b/load_balancer/proxy/request_parser.py
@@ -9,11 +9,11 @@
 
 from load_balancer.proxy.client_request import ClientRequest, ErrorResponse, HealthCheck
 from load_balancer.proxy.errors import InvalidRequestError
-from load_balancer.proxy.messages import MAX_BODY, MAX_HEAD
+from load_balancer.proxy.messages import MAX_BODY_SIZE, MAX_HEAD_SIZE
 from load_balancer.proxy.request_headers import RequestHeaders
 from load_balancer.proxy.request_validation import RequestValidator
 
-MAX_REQUEST_SIZE = MAX_HEAD + 2 * MAX_BODY  # bytes; twice the body leaves room for chunk framing
+MAX_REQUEST_SIZE = MAX_HEAD_SIZE + 2 * MAX_BODY_SIZE  # bytes; twice the body leaves room for chunk framing
 _HEADER_LINE_OVERHEAD = 4  # bytes: colon, space and CRLF
 
 
@@ -83,7 +83,7 @@
         if self._headers.complete:
             if self._size > MAX_REQUEST_SIZE:
                 return ErrorResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-        elif self._size > MAX_HEAD:
+        elif self._size > MAX_HEAD_SIZE:
             return ErrorResponse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         return None
 
@@ -102,7 +102,7 @@
         """
         headers = self._headers
         headers.size += len(name) + len(value) + _HEADER_LINE_OVERHEAD
-        if headers.size > MAX_HEAD:
+        if headers.size > MAX_HEAD_SIZE:
             raise InvalidRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         if not headers.complete:
             headers.add(name, value)
@@ -117,14 +117,14 @@
         # httptools ignores unknown transfer encodings, and HTTP/1.0 does not define any.
         if encoding is not None and (encoding.lower() != b"chunked" or version == "1.0"):
             raise InvalidRequestError(HTTPStatus.BAD_REQUEST)
-        if headers.content_length > MAX_BODY:
+        if headers.content_length > MAX_BODY_SIZE:
             raise InvalidRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         if headers.expects_continue:
             self._receiver.on_continue_expected()
 
     def on_body(self, body: bytes) -> None:
         """Append a part of the body."""
-        if len(self._body) + len(body) > MAX_BODY:
+        if len(self._body) + len(body) > MAX_BODY_SIZE:
             raise InvalidRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         self._body += body
 
--- a/load_balancer/proxy/response_parser.py
+++ b/load_balancer/proxy/response_parser.py
@@ -5,9 +5,9 @@
 import httptools
 
 from load_balancer.proxy.errors import MalformedResponseError
-from load_balancer.proxy.messages import MAX_BODY, MAX_HEAD, UpstreamResponse
+from load_balancer.proxy.messages import MAX_BODY_SIZE, MAX_HEAD_SIZE, UpstreamResponse
 
-MAX_RESPONSE_SIZE = MAX_HEAD + 2 * MAX_BODY  # bytes of head, body and chunk framing
+MAX_RESPONSE_SIZE = MAX_HEAD_SIZE + 2 * MAX_BODY_SIZE  # bytes of head, body and chunk framing
 MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses before the final one
 MIN_FINAL_STATUS = 200  # lower ones are informational
 
@@ -76,7 +76,7 @@
         except httptools.HttpParserUpgrade as error:
             raise MalformedResponseError("unexpected protocol upgrade") from error
         if not self.complete and self.bytes_received > (
-            MAX_RESPONSE_SIZE if self._head_complete else MAX_HEAD
+            MAX_RESPONSE_SIZE if self._head_complete else MAX_HEAD_SIZE
         ):
             raise MalformedResponseError("response too large")
 
@@ -100,7 +100,7 @@
         if self.complete:
             return
         lower = name.lower()
-        if lower == b"content-length" and int(value) > MAX_BODY:
+        if lower == b"content-length" and int(value) > MAX_BODY_SIZE:
             raise ValueError("Content-Length too large")  # early: the body may never end
         if lower == b"not-started":
             self.not_started = value == b"1"
@@ -113,10 +113,10 @@
             self._head_complete = self._parser.get_status_code() >= MIN_FINAL_STATUS
 
     def on_body(self, body: bytes) -> None:
-        """Append a part of the body, up to ``MAX_BODY`` bytes in total."""
+        """Append a part of the body, up to ``MAX_BODY_SIZE`` bytes in total."""
         if self.complete:
             return
-        if len(self._body) + len(body) > MAX_BODY:
+        if len(self._body) + len(body) > MAX_BODY_SIZE:
             raise ValueError("body too large")
         self._body += body
 
--- a/tests/proxy/test_response_parser.py
+++ b/tests/proxy/test_response_parser.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer.proxy.errors import MalformedResponseError
-from load_balancer.proxy.messages import MAX_BODY, UpstreamResponse
+from load_balancer.proxy.messages import MAX_BODY_SIZE, UpstreamResponse
 from load_balancer.proxy.response_parser import MAX_INFORMATIONAL_RESPONSES, ResponseParser
 
 RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Type: text/plain\r\nNot-Started: 1\r\nContent-Length: 4\r\n\r\nfull"
@@ -44,7 +44,7 @@
         parse(INFORMATIONAL * (MAX_INFORMATIONAL_RESPONSES + 1), 1000)
 
 
-@pytest.mark.parametrize(("size", "is_valid"), [(MAX_BODY, True), (MAX_BODY + 1, False)])
+@pytest.mark.parametrize(("size", "is_valid"), [(MAX_BODY_SIZE, True), (MAX_BODY_SIZE + 1, False)])
 def test_body_limit(size: int, is_valid: bool) -> None:
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (size, bytes(size))
     if is_valid:
