--- a/load_balancer/proxy/discovery_response.py
+++ b/load_balancer/proxy/discovery_response.py
@@ -10,7 +10,7 @@
 import httptools
 
 from load_balancer.proxy.address import Address
-from load_balancer.proxy.errors import ConnectionEndedError, ResponseStatusError
+from load_balancer.proxy.errors import ConnectionClosedError, ResponseStatusError
 
 READ_SIZE = 8192  # bytes; decoding them takes some ms at most, during which no other task runs
 MIN_TRANSFER_RATE = 1 << 20  # bytes/s; a message that arrives at this rate may exceed its time limit
@@ -56,14 +56,14 @@
 
         Raises:
             TimeoutError: No data arrived in time, or the message exceeded its time limit.
-            ConnectionEndedError: The connection was closed.
+            ConnectionClosedError: The connection was closed.
             ResponseStatusError: The status is not 200.
             httptools.HttpParserError: The data is not a valid HTTP response.
         """
         async with asyncio.timeout(min(self._next_read_timeout, self._message_time_left())):
             data = await self._reader.read(READ_SIZE)
         if not data:
-            raise ConnectionEndedError
+            raise ConnectionClosedError
         self._parser.feed_data(data)
         status = self._parser.get_status_code()
         if status not in (_STATUS_UNKNOWN, _STATUS_OK):
--- a/load_balancer/proxy/errors.py
+++ b/load_balancer/proxy/errors.py
@@ -42,7 +42,7 @@
     """A call to discovery that failed. Invalid content of a response raises an ``EndpointListError``."""
 
 
-class ConnectionEndedError(DiscoveryError):
+class ConnectionClosedError(DiscoveryError):
     """The connection to discovery closed before the response was complete."""
 
     def __init__(self) -> None:
