--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -9,7 +9,7 @@
 from load_balancer.policy.endpoints import Endpoint, EndpointState
 from load_balancer.policy.settings import Settings
 from load_balancer.proxy.stable_id import stable_id
-from load_balancer.settings_decoder import read_settings
+from load_balancer.settings_decoder import decode_settings
 
 ZONES = tuple(f"z{i}" for i in range(12))
 MACHINE_TYPES = ("m1", "m2", "m3")
@@ -115,7 +115,7 @@
 ) -> Settings:
     """The same settings in the policy's form."""
     raw = raw_settings(tenants, classes, node_index, node_count)
-    return read_settings(json.dumps(raw).encode())
+    return decode_settings(json.dumps(raw).encode())
 
 
 def node_config(
--- a/load_balancer/proxy/config.py
+++ b/load_balancer/proxy/config.py
@@ -17,7 +17,7 @@
 from load_balancer.proxy.cached_endpoints import config_events, load_cached_endpoints
 from load_balancer.proxy.endpoint_decoder import DiscoveryUpdate, UpdateBuilder
 from load_balancer.proxy.errors import ConfigError, InvalidAddressError
-from load_balancer.settings_decoder import read_settings
+from load_balancer.settings_decoder import decode_settings
 
 # The node counts as notified of a change this long after discovery has the change and is reachable, even if
 # the node has not received it.
@@ -128,7 +128,7 @@
         seed=int(raw["seed"], 16),
         sockets=int(raw["limits"]["sockets"]),
         load_cached_endpoints=partial(load_cached_endpoints, path) if raw.get("known") else None,
-        settings=_limit_stale_endpoints(read_settings(json.dumps(settings).encode()), drain_grace),
+        settings=_limit_stale_endpoints(decode_settings(json.dumps(settings).encode()), drain_grace),
         classes={entry["Name"].encode(): index for index, entry in enumerate(settings["Classes"])},
         tenants={entry["Name"].encode(): index for index, entry in enumerate(settings.get("Customers", ()))},
         machine_types={name: index for index, name in enumerate(settings.get("Kinds", ()))},
--- a/load_balancer/settings_decoder.py
+++ b/load_balancer/settings_decoder.py
@@ -27,7 +27,7 @@
     """An invalid settings object. The message says what is wrong."""
 
 
-def read_settings(text: bytes) -> Settings:
+def decode_settings(text: bytes) -> Settings:
     """Decode a settings object. Unknown keys are ignored.
 
     Raises:
@@ -38,7 +38,7 @@
     except ValueError as error:
         raise SettingsError(f"settings: not JSON: {error}") from None
     try:
-        return _decode_settings(raw)
+        return _decode_object(raw)
     except KeyError as error:
         raise SettingsError(f"settings: {error} is missing or has an unknown value") from None
     except (TypeError, ValueError, AttributeError) as error:
@@ -58,7 +58,7 @@
     )
 
 
-def _decode_settings(raw: dict[str, Any]) -> Settings:
+def _decode_object(raw: dict[str, Any]) -> Settings:
     allowed, obligations = raw["Allowed"], raw["Obligations"]
     discovery = raw["Discovery"]
     if discovery not in ("push", "ask"):
--- a/load_balancer/simulator/batch_decoder.py
+++ b/load_balancer/simulator/batch_decoder.py
@@ -20,7 +20,7 @@
     UpdateKind,
 )
 from load_balancer.policy.settings import Settings
-from load_balancer.settings_decoder import SettingsError, read_settings
+from load_balancer.settings_decoder import SettingsError, decode_settings
 from load_balancer.simulator.wire_format import (
     BATCH_HEADER,
     ENDPOINT,
@@ -231,7 +231,7 @@
     seed, start, length = unpack_instance_started(reader.frame, at)
     text = reader.tail(at, start, length)
     try:
-        return InstanceStarted(seed, read_settings(text))
+        return InstanceStarted(seed, decode_settings(text))
     except SettingsError as error:
         raise reader.error(at, str(error)) from None
 
--- a/tests/test_settings_decoder.py
+++ b/tests/test_settings_decoder.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from load_balancer.settings_decoder import SettingsError, read_settings
+from load_balancer.settings_decoder import SettingsError, decode_settings
 from tests.raw_settings import SETTINGS
 
 
@@ -23,10 +23,10 @@
 )
 def test_unusable_settings_raise_an_error_that_names_the_field(change: dict[str, object], word: str) -> None:
     with pytest.raises(SettingsError, match=word):
-        read_settings(json.dumps({**SETTINGS, **change}).encode())
+        decode_settings(json.dumps({**SETTINGS, **change}).encode())
 
 
 def test_the_connect_timeout_is_optional() -> None:
     allowed = {**SETTINGS["Allowed"], "DialTimeout": 200.0}
-    assert read_settings(json.dumps({**SETTINGS, "Allowed": allowed}).encode()).connect_timeout == 200.0
-    assert read_settings(json.dumps(SETTINGS).encode()).connect_timeout == 0.0
+    assert decode_settings(json.dumps({**SETTINGS, "Allowed": allowed}).encode()).connect_timeout == 200.0
+    assert decode_settings(json.dumps(SETTINGS).encode()).connect_timeout == 0.0
