--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -23,7 +23,7 @@
 from load_balancer.policy.commands import Command
 from load_balancer.policy.endpoints import Endpoint
 from load_balancer.policy.events import EndpointUpdate, Event
-from load_balancer.proxy.config import Config, read_config_text
+from load_balancer.proxy.config import Config, decode_config
 from load_balancer.proxy.node import Node
 
 POLL_INTERVAL = 0.05  # s between checks whether all nodes have their list
@@ -112,7 +112,7 @@
 
 def _config(discovery_port: int, index: int, nodes: int) -> Config:
     raw = node_config(discovery_port, 0, node_index=index, node_count=nodes)
-    return read_config_text(json.dumps(raw), {})
+    return decode_config(json.dumps(raw), {})
 
 
 async def _start_all(nodes: list[HollowNode], plan: DiscoveryPlan, stub: DiscoveryStubProcess) -> float:
--- a/load_balancer/proxy/config.py
+++ b/load_balancer/proxy/config.py
@@ -40,7 +40,7 @@
     """Address of discovery."""
     seed: int
     """Seed of the random number generators."""
-    sockets: int
+    max_descriptors: int
     """Maximum number of open file descriptors of the process."""
     load_cached_endpoints: Callable[[UpdateBuilder], DiscoveryUpdate | None] | None
     """Reads the endpoint list that the node had before its restart; None if there is no such list."""
@@ -75,7 +75,7 @@
         raise ConfigError("ROUTER_CONFIG is not set")
     try:
         with Path(path).open("rb") as file:
-            return _decode_config(_parse_file(file), environ, Path(path))
+            return _build_config(_parse_file(file), environ, Path(path))
     except OSError as error:
         raise ConfigError(error.strerror, path) from None
     except KeyError as error:
@@ -95,12 +95,12 @@
     return read_config({key: value for key, value in environ.items() if key != "ROUTER_DISCOVERY"}).discovery
 
 
-def read_config_text(text: bytes | str, environ: Mapping[str, str]) -> Config:
+def decode_config(text: bytes | str, environ: Mapping[str, str]) -> Config:
     """Decode a configuration from JSON text, ignoring its cached endpoint list.
 
     Errors of decoding are raised as they are, not as ``ConfigError``.
     """
-    return _decode_config(json.loads(text) | {"known": False}, environ, Path())
+    return _build_config(json.loads(text) | {"known": False}, environ, Path())
 
 
 def _parse_file(file: IO[bytes]) -> Any:
@@ -116,7 +116,7 @@
     return builder.value
 
 
-def _decode_config(raw: dict[str, Any], environ: Mapping[str, str], path: Path) -> Config:
+def _build_config(raw: dict[str, Any], environ: Mapping[str, str], path: Path) -> Config:
     settings = raw["settings"]
     allowed = settings["Allowed"]
     drain_grace = float(settings["Obligations"]["DrainGrace"])
@@ -126,7 +126,7 @@
         listen=parse_address(environ.get("ROUTER_LISTEN") or raw["listen"]),
         discovery=parse_address(environ.get("ROUTER_DISCOVERY") or raw["discovery"]),
         seed=int(raw["seed"], 16),
-        sockets=int(raw["limits"]["sockets"]),
+        max_descriptors=int(raw["limits"]["sockets"]),
         load_cached_endpoints=partial(load_cached_endpoints, path) if raw.get("known") else None,
         settings=_limit_stale_endpoints(decode_settings(json.dumps(settings).encode()), drain_grace),
         classes={entry["Name"].encode(): index for index, entry in enumerate(settings["Classes"])},
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -92,7 +92,7 @@
         self.policy_runner = PolicyRunner(self.policy, self._command_handlers(), self._abort_request)
         self.requests = RequestTracker()
         self.endpoints = EndpointDirectory(config)
-        limits = _connection_limits(config.sockets)
+        limits = _connection_limits(config.max_descriptors)
         self.pool = UpstreamPool(
             loop, PoolLimits(config.connect_timeout, config.idle_timeout, limits.upstreams), handler=self
         )
--- a/tests/proxy/harness.py
+++ b/tests/proxy/harness.py
@@ -42,7 +42,7 @@
         "listen": ("127.0.0.1", 0),
         "discovery": ("127.0.0.1", discovery),
         "seed": 1,
-        "sockets": 1024,
+        "max_descriptors": 1024,
         "load_cached_endpoints": None,
         "settings": Settings(classes=classes, can_cancel=True, max_attempts=attempts, max_retry_after=600.0),
         "classes": {name.encode(): i for i, name in enumerate(CLASSES)},
--- a/tests/proxy/test_eviction.py
+++ b/tests/proxy/test_eviction.py
@@ -17,7 +17,7 @@
     monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 60.0)
 
     async def test() -> None:
-        async with running_node(await UpstreamStub().start(), sockets=96) as harness:
+        async with running_node(await UpstreamStub().start(), max_descriptors=96) as harness:
             limit = harness.node.listener.connections.limit
             clients = [await harness.connect() for _ in range(limit)]
             for client in clients:
@@ -35,7 +35,7 @@
     monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def test() -> None:
-        async with running_node(await UpstreamStub().start(), sockets=96) as harness:
+        async with running_node(await UpstreamStub().start(), max_descriptors=96) as harness:
             table = harness.node.listener.connections
             clients = [await harness.connect() for _ in range(table.limit)]
             for client in clients:
@@ -56,7 +56,7 @@
     monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def test() -> None:
-        async with running_node(await UpstreamStub().start(), sockets=96) as harness:
+        async with running_node(await UpstreamStub().start(), max_descriptors=96) as harness:
             regular = await harness.connect()
             assert (await regular.exchange(make_request()))[0] == 200
             table = harness.node.listener.connections
@@ -78,7 +78,7 @@
     monkeypatch.setattr(eviction, "SLOW_REQUEST_AGE_S", 0.0)
 
     async def test() -> None:
-        async with running_node(await UpstreamStub().start(), sockets=96) as harness:
+        async with running_node(await UpstreamStub().start(), max_descriptors=96) as harness:
             table = harness.node.listener.connections
             limit = table.limit
             slow = [await harness.connect() for _ in range(limit)]
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -35,7 +35,7 @@
 
     async def test() -> None:
         peers = [await UpstreamStub(respond_after(release)).start() for _ in range(3)]
-        async with running_node(*peers, sockets=96) as harness:
+        async with running_node(*peers, max_descriptors=96) as harness:
             listener = harness.node.listener
             listener.connections.limit = 3
             clients = [await harness.connect() for _ in range(5)]
