--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -73,10 +73,10 @@
         return commands
 
     def _record_ages(self, endpoints: list[Endpoint]) -> None:
-        unix_offset = self.node.endpoint_updater.unix_offset
+        unix_offset_ms = self.node.endpoint_updater.unix_offset_ms
         for endpoint in endpoints:
             if endpoint.started_at:  # the stub makes a change by a restart
-                age = time.time() - (endpoint.started_at + unix_offset) / 1000
+                age = time.time() - (endpoint.started_at + unix_offset_ms) / 1000
                 self._change_ages.record_value(max(1, int(age * MICROSECONDS)))
 
 
--- a/load_balancer/proxy/endpoint_updater.py
+++ b/load_balancer/proxy/endpoint_updater.py
@@ -41,18 +41,18 @@
         pool: UpstreamPool,
         submit: Callable[[EndpointUpdate], None],
     ) -> None:
-        self.unix_offset = time.time() * 1000 - now_ms()
+        self.unix_offset_ms = time.time() * 1000 - now_ms()
         """Unix time minus the time of the node's monotonic clock, in ms."""
         self._directory = directory
         self._pool = pool
         self._submit = submit
 
-    async def apply(self, update: DiscoveryUpdate) -> None:
+    async def apply_update(self, update: DiscoveryUpdate) -> None:
         """Apply an update, yielding to the event loop between slices."""
         for _ in self.apply_slices(update):
             await asyncio.sleep(0)
 
-    def apply_cached(self, read: Callable[[UpdateBuilder], DiscoveryUpdate | None]) -> int | None:
+    def apply_cached_list(self, read: Callable[[UpdateBuilder], DiscoveryUpdate | None]) -> int | None:
         """Apply the cached endpoint list from the configuration file.
 
         Args:
@@ -136,7 +136,7 @@
             cell=row.cell,
             state=target.state,
             weight=row.weight,
-            started_at=row.started_at - self.unix_offset if row.started_at else 0.0,
+            started_at=row.started_at - self.unix_offset_ms if row.started_at else 0.0,
         )
 
 
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -232,7 +232,7 @@
         Raises:
             KeyError: The list has no such endpoint.
         """
-        return self.endpoints.target(endpoint_id)
+        return self.endpoints.find_target(endpoint_id)
 
     def check_client_before_send(self, attempt: UpstreamAttempt) -> bool:
         """Return whether the client is still connected; if not, end its request and the attempt."""
@@ -282,7 +282,7 @@
         )
 
     async def _apply_update(self, update: DiscoveryUpdate) -> None:
-        await self.endpoint_updater.apply(update)
+        await self.endpoint_updater.apply_update(update)
         self.healthy = True
 
     def _discovery_status_changed(self, last_contact_at: float | None) -> None:
@@ -292,7 +292,7 @@
         self.policy_runner.submit(EndpointUpdate(kind, version, [], last_contact_at))
 
     def _apply_cached_endpoints(self, load: Callable[[UpdateBuilder], DiscoveryUpdate | None]) -> None:
-        version = self.endpoint_updater.apply_cached(load)
+        version = self.endpoint_updater.apply_cached_list(load)
         if version is None:
             return
         self.healthy = True
