--- a/load_balancer/policy/settings.py
+++ b/load_balancer/policy/settings.py
@@ -32,7 +32,7 @@
 
 def _check(valid: bool, name: str, value: object) -> None:
     if not valid:
-        raise ValueError(f"settings: {name} can't be {value!r}")
+        raise ValueError(f"settings: {name} has the invalid value {value!r}")
 
 
 @dataclass(slots=True, frozen=True)
--- a/load_balancer/settings_decoder.py
+++ b/load_balancer/settings_decoder.py
@@ -62,7 +62,7 @@
     allowed, obligations = raw["Allowed"], raw["Obligations"]
     discovery = raw["Discovery"]
     if discovery not in ("push", "ask"):
-        raise ValueError(f"Discovery can't be {discovery!r}")
+        raise ValueError(f"Discovery: expected 'push' or 'ask', got {discovery!r}")
     return Settings(
         classes=tuple(_decode_request_class(raw_class) for raw_class in raw["Classes"]),
         zone=int(raw.get("MyZone", 0)),
