--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -128,7 +128,7 @@
         longest_deadline = max(request_class.deadline for request_class in self.config.settings.classes)
         await drain_client_connections(self.listener, self.requests, longest_deadline)
         self.close()  # after the drain, since retries need the endpoint list until the last response
-        logger.info("stopped")
+        logger.info("shutdown complete")
 
     def close(self) -> None:
         """Stop the metrics reports, and close the listener and the watch at once."""
