--- a/tests/proxy/harness.py
+++ b/tests/proxy/harness.py
@@ -92,14 +92,14 @@
             yield connection
 
     def apply_delta(self, generation: int, instances: list[dict[str, Any]]) -> None:
-        """Apply changes of the endpoint list, all in force when the call returns."""
+        """Apply changes of the endpoint list, all of them before the call returns."""
         decoder = self.node.endpoints.new_decoder()
         decoder.feed(json.dumps({"generation": generation, "reset": False, "instances": instances}).encode())
         for _ in self.node.endpoint_updater.apply_slices(decoder.finish()):
             pass
 
     def endpoint_ids(self) -> set[int]:
-        """Return the ids of the endpoint list in force."""
+        """Return the ids of the current endpoint list."""
         return set(self.node.endpoints.ids())
 
     def age_idle_connections(self) -> None:
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -38,7 +38,7 @@
     run(test())
 
 
-def test_pipelined_requests_are_answered_in_order() -> None:
+def test_pipelined_requests_get_responses_in_order() -> None:
     async def echo(peer: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
         name = head.split(b" ")[1].rpartition(b"/")[2]
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name))
@@ -53,7 +53,7 @@
     run(test())
 
 
-def test_pipelined_requests_are_all_answered_during_shutdown() -> None:
+def test_pipelined_requests_all_get_responses_during_shutdown() -> None:
     release = asyncio.Event()
 
     async def test() -> None:
@@ -107,7 +107,7 @@
     run(test())
 
 
-def test_duplicate_request_id_is_rejected_until_first_is_answered() -> None:
+def test_duplicate_request_id_is_rejected_until_first_has_a_response() -> None:
     release = asyncio.Event()
 
     async def test() -> None:
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -12,7 +12,7 @@
 from tests.proxy.stubs import WAIT, DiscoveryStub, UpstreamStub, header, make_request, respond_after
 
 
-def test_sigterm_answers_requests_in_flight_and_those_that_still_come(tmp_path: Path) -> None:
+def test_after_sigterm_requests_in_flight_and_those_that_still_come_get_responses(tmp_path: Path) -> None:
     release = asyncio.Event()
 
     async def test() -> None:
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -54,7 +54,7 @@
     run(test())
 
 
-def test_request_late_in_a_graceful_shutdown_is_answered_before_the_kill(
+def test_request_late_in_a_graceful_shutdown_gets_a_response_before_the_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "SIGKILL_DELAY_MS", 0.0)
