--- a/load_balancer/proxy/upstream_pool.py
+++ b/load_balancer/proxy/upstream_pool.py
@@ -88,7 +88,7 @@
         attempts: Attempts in flight.
         connections: Open connections, without those being opened, which ``pending_connects`` counts.
         pending_connects: Number of connections being opened.
-        counters: Numbers of connection events, which the metrics reporter clears after each report.
+        counts: Counters of connection events, which the metrics reporter clears after each report.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limits: PoolLimits, handler: AttemptHandler) -> None:
@@ -101,7 +101,7 @@
         self.attempts: dict[AttemptKey, UpstreamAttempt] = {}
         self.connections: set[UpstreamConnection] = set()
         self.pending_connects = 0
-        self.counters: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()
         self.loop.call_later(REAP_INTERVAL_S, self.reap_idle_connections)
 
     def update_target(self, endpoint_id: int, target: UpstreamTarget) -> None:
@@ -200,9 +200,9 @@
     def _take_idle_connection(self, upstream: Upstream, now: float) -> UpstreamConnection | None:
         while (connection := upstream.pop_idle_connection(now)) is not None:
             if now - connection.idle_since < self.idle_timeout.current_ms and connection.is_reusable():
-                self.counters[CONNECTIONS_REUSED] += 1
+                self.counts[CONNECTIONS_REUSED] += 1
                 return connection
-            self.counters[IDLE_CONNECTIONS_DISCARDED] += 1
+            self.counts[IDLE_CONNECTIONS_DISCARDED] += 1
             connection.transport.abort()
         return None
 
@@ -224,7 +224,7 @@
     async def _open_connection(self, upstream: Upstream) -> UpstreamConnection | None:
         """Return a new connection, or None if connecting failed or timed out, or the address is invalid."""
         self.pending_connects += 1
-        self.counters[CONNECTS_STARTED] += 1
+        self.counts[CONNECTS_STARTED] += 1
         connection = UpstreamConnection(self, upstream)
         try:
             async with asyncio.timeout(self.connect_timeout / 1000):
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -262,7 +262,7 @@
             gc.disable()
             try:
                 assert (await client.exchange(make_request("pay")))[0] == 503
-                assert harness.node.pool.counters["connects started"] == 1
+                assert harness.node.pool.counts["connects started"] == 1
                 assert not any(isinstance(item, ResponseParser) for item in gc.get_objects())
             finally:
                 gc.enable()
