--- a/load_balancer/proxy/endpoint_directory.py
+++ b/load_balancer/proxy/endpoint_directory.py
@@ -60,7 +60,7 @@
         else:
             self._rows.put(endpoint_id, *row)
 
-    def find_target(self, endpoint_id: int) -> UpstreamTarget:
+    def target(self, endpoint_id: int) -> UpstreamTarget:
         """Return the target for connections to an endpoint.
 
         Raises:
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -230,7 +230,7 @@
         Raises:
             KeyError: The list has no such endpoint.
         """
-        return self.endpoints.find_target(endpoint_id)
+        return self.endpoints.target(endpoint_id)
 
     def check_client_before_send(self, attempt: UpstreamAttempt) -> bool:
         """Return whether the client is still connected; if not, end its request and the attempt."""
