--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -23,7 +23,7 @@
 from load_balancer.policy.commands import Command
 from load_balancer.policy.endpoints import Endpoint
 from load_balancer.policy.events import EndpointUpdate, Event
-from load_balancer.proxy.config import Config, read_config_text
+from load_balancer.proxy.config import Config, decode_config
 from load_balancer.proxy.node import Node
 
 POLL_INTERVAL = 0.05  # s between checks whether all nodes have their endpoint list
@@ -67,7 +67,7 @@
 
     def _observe(self, now: float, event: Event) -> list[Command]:
         commands = self._handle(now, event)
-        if isinstance(event, EndpointUpdate) and event.last_heard_at is None and event.version:
+        if isinstance(event, EndpointUpdate) and event.last_contact_at is None and event.version:
             if self.list_received_at is None:
                 self.list_received_at = time.time()
             else:
@@ -75,10 +75,10 @@
         return commands
 
     def _record_ages(self, endpoints: list[Endpoint]) -> None:
-        unix_offset = self.node.endpoint_updater.unix_offset
+        unix_offset_ms = self.node.endpoint_updater.unix_offset_ms
         for endpoint in endpoints:
             if endpoint.started_at:  # set for a restart, the only kind of change here
-                age = time.time() - (endpoint.started_at + unix_offset) / 1000
+                age = time.time() - (endpoint.started_at + unix_offset_ms) / 1000
                 self._change_ages.record_value(max(1, int(age * MICROSECONDS_PER_S)))
 
 
@@ -117,7 +117,7 @@
 
 def _config(discovery_port: int, index: int, nodes: int) -> Config:
     raw = node_config(discovery_port, 0, node_index=index, node_count=nodes)
-    return read_config_text(json.dumps(raw), {})
+    return decode_config(json.dumps(raw), {})
 
 
 async def _start_all(nodes: list[HollowNode], plan: DiscoveryPlan, stub: DiscoveryStubProcess) -> float:
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -45,7 +45,7 @@
 from load_balancer.proxy.messages import UpstreamResponse
 from load_balancer.proxy.metrics import MetricsReporter
 from load_balancer.proxy.policy_runner import CommandHandlers, PolicyRunner
-from load_balancer.proxy.request_tracker import PendingRequest, RequestTracker
+from load_balancer.proxy.request_tracker import RequestTracker, TrackedRequest
 from load_balancer.proxy.upstream import UpstreamTarget
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 from load_balancer.proxy.upstream_pool import PoolLimits, UpstreamPool
@@ -86,13 +86,13 @@
         self.loop = loop
         self.healthy = False
         """Whether an endpoint list has been applied, so that requests can be served."""
-        self.stopping = False
+        self.shutting_down = False
         """Whether the graceful shutdown has begun."""
         self.policy = Policy(config.settings, config.seed)
         self.policy_runner = PolicyRunner(self.policy, self._command_handlers(), self._abort_request)
         self.requests = RequestTracker()
         self.endpoints = EndpointDirectory(config)
-        limits = _connection_limits(config.sockets)
+        limits = _connection_limits(config.max_descriptors)
         self.pool = UpstreamPool(
             loop, PoolLimits(config.connect_timeout, config.idle_timeout, limits.upstreams), handler=self
         )
@@ -121,12 +121,12 @@
         reload_configuration(environ, self.discovery)
 
     async def shut_down(self) -> None:
-        """Answer the requests in flight and those that still arrive, then close the node."""
-        self.stopping = True
+        """Respond to the requests in flight and those that still arrive, then close the node."""
+        self.shutting_down = True
         longest_deadline = max(request_class.deadline for request_class in self.config.settings.classes)
         await drain_client_connections(self.listener, self.requests, longest_deadline)
         self.close()  # after the drain, since retries need the endpoint list until the last response
-        logger.info("stopped")
+        logger.info("shutdown complete")
 
     def close(self) -> None:
         """Stop the metrics reports, and close the listener and the watch at once."""
@@ -185,10 +185,10 @@
     def _reject_request(self, command: RejectRequest) -> None:
         retry_after = command.retry_after / 1000
         headers = b"Retry-After: %.3f\r\n" % retry_after if retry_after else b""
-        self.requests.answer(command.request_id, 503, headers)
+        self.requests.respond(command.request_id, 503, headers)
 
     def _fail_request(self, command: FailRequest) -> None:
-        self.requests.answer(command.request_id, 502)
+        self.requests.respond(command.request_id, 502)
 
     def _cancel_attempt(self, command: CancelAttempt) -> None:
         self.pool.cancel(command.request_id, command.attempt)
@@ -205,13 +205,13 @@
         """Do nothing, since the node watches the endpoint list from its start."""
 
     def _abort_request(self, request_id: int) -> None:
-        """Answer a request with 500 after an exception in the policy or in a command, and cancel it."""
+        """Respond to a request with 500 after an exception in the policy or in a command, and cancel it."""
         pending = self.requests.pending.get(request_id)
         if pending is not None:
-            self.requests.answer(request_id, 500)
+            self.requests.respond(request_id, 500)
             self._cancel_request(request_id, pending)
 
-    def _cancel_request(self, request_id: int, pending: PendingRequest) -> None:
+    def _cancel_request(self, request_id: int, pending: TrackedRequest) -> None:
         self.policy_runner.submit(RequestCancelled(request_id))
         # The policy cancels attempts where the settings allow it. An attempt that has no connection yet must
         # not be sent in any case. Only the newest can lack one; -1, if there was none, matches no attempt.
@@ -280,24 +280,24 @@
         )
 
     async def _apply_update(self, update: DiscoveryUpdate) -> None:
-        await self.endpoint_updater.apply(update)
+        await self.endpoint_updater.apply_update(update)
         self.healthy = True
 
-    def _discovery_status_changed(self, last_heard_at: float | None) -> None:
-        """Tell the policy that discovery was last heard at this time in ms, or with None that it is back."""
-        kind = UpdateKind.DELTA if last_heard_at is None else UpdateKind.UNAVAILABLE
+    def _discovery_status_changed(self, last_contact_at: float | None) -> None:
+        """Tell the policy that discovery is unavailable since its last contact, or available if None."""
+        kind = UpdateKind.DELTA if last_contact_at is None else UpdateKind.UNAVAILABLE
         version = self.discovery.version or 0
-        self.policy_runner.submit(EndpointUpdate(kind, version, [], last_heard_at))
+        self.policy_runner.submit(EndpointUpdate(kind, version, [], last_contact_at))
 
     def _apply_cached_endpoints(self, load: Callable[[UpdateBuilder], DiscoveryUpdate | None]) -> None:
-        version = self.endpoint_updater.apply_cached(load)
+        version = self.endpoint_updater.apply_cached_list(load)
         if version is None:
             return
         self.healthy = True
         self.discovery.resume_from(version)
         # Submitted after the list, since each DELTA tells the policy that discovery is available.
-        last_heard_at = now_ms() - RESTART_DURATION_MS
-        self.policy_runner.submit(EndpointUpdate(UpdateKind.UNAVAILABLE, version, [], last_heard_at))
+        last_contact_at = now_ms() - RESTART_DURATION_MS
+        self.policy_runner.submit(EndpointUpdate(UpdateKind.UNAVAILABLE, version, [], last_contact_at))
 
 
 def _connection_limits(max_descriptors: int) -> ConnectionLimits:
--- a/load_balancer/simulator/batch_decoder.py
+++ b/load_balancer/simulator/batch_decoder.py
@@ -20,7 +20,7 @@
     UpdateKind,
 )
 from load_balancer.policy.settings import Settings
-from load_balancer.settings_decoder import SettingsError, read_settings
+from load_balancer.settings_decoder import SettingsError, decode_settings
 from load_balancer.simulator.wire_format import (
     BATCH_HEADER,
     ENDPOINT,
@@ -231,7 +231,7 @@
     seed, start, length = unpack_instance_started(reader.frame, offset)
     settings_json = reader.tail(offset, start, length)
     try:
-        return InstanceStarted(seed, read_settings(settings_json))
+        return InstanceStarted(seed, decode_settings(settings_json))
     except SettingsError as error:
         raise reader.error(offset, str(error)) from None
 
