--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -172,11 +172,11 @@
     def _start_attempt(self, request: PendingRequest) -> None:
         """Send an attempt, wait for earlier requests of the key, or end a request that can't be served."""
         requests_ahead = self._sequencer.position(request)
-        typical = self._latency.typical[request.arrival.class_index]
+        typical_latency = self._latency.typical_latencies[request.arrival.class_index]
         if not self._retries.has_attempts_left(request):
             self._end_unserved(request, UnservedReason.NO_ATTEMPTS_LEFT)
             return
-        latest_start_at = self._retries.latest_start(request, typical, requests_ahead)
+        latest_start_at = self._retries.latest_start(request, typical_latency, requests_ahead)
         if latest_start_at <= self._now:
             self._end_unserved(request, UnservedReason.NO_TIME)
             return
@@ -189,20 +189,22 @@
         if tracked is None:
             self._end_unserved(request, UnservedReason.NO_ENDPOINT)
             return
-        self._send_attempt(request, tracked, typical)
+        self._send_attempt(request, tracked, typical_latency)
 
-    def _send_attempt(self, request: PendingRequest, tracked: TrackedEndpoint, typical: float) -> None:
-        """Send an attempt to an endpoint; ``typical`` is the typical latency of the request class in ms."""
+    def _send_attempt(
+        self, request: PendingRequest, tracked: TrackedEndpoint, typical_latency: float
+    ) -> None:
+        """Send an attempt to an endpoint; ``typical_latency`` is that of the request class in ms."""
         # The registry comes first: it reads the attempt number that the retry policy then increments. The
         # timeout comes last: it depends on the number of attempts left after this one.
-        self._registry.attempt_sent(request, tracked, self._now, self._now + OVERDUE_FACTOR * typical)
+        self._registry.attempt_sent(request, tracked, self._now, self._now + OVERDUE_FACTOR * typical_latency)
         self._retries.attempt_sent(request, tracked.endpoint, self._now)
         self._sequencer.attempt_sent(request)
         self._overload.attempt_sent()
         self._selector.attempt_sent(tracked)
         self._slow_start.attempt_sent(tracked, self._now)
         congested = self._overload.concurrency.congested
-        timeout = self._retries.timeout(request, typical, congested, self._now)
+        timeout = self._retries.timeout(request, typical_latency, congested, self._now)
         self._commands.append(SendAttempt(request.arrival.request_id, tracked.endpoint.id, timeout))
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
--- a/load_balancer/policy/latency.py
+++ b/load_balancer/policy/latency.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, classes: Sequence[RequestClass]) -> None:
-        self.typical = [
+        self.typical_latencies = [
             request_class.latency_objective * INITIAL_OBJECTIVE_SHARE for request_class in classes
         ]
         """Typical latency in ms by request class. Read-only outside this class."""
@@ -32,7 +32,7 @@
     def record_success(self, class_index: int, elapsed: float, overload: float) -> None:
         """Update the typical latency of a class with a successful response after ``elapsed`` ms."""
         gain = TYPICAL_GAIN if overload < OVERLOADED_THRESHOLD else TYPICAL_GAIN_OVERLOADED
-        self.typical[class_index] += gain * (elapsed - self.typical[class_index])
+        self.typical_latencies[class_index] += gain * (elapsed - self.typical_latencies[class_index])
 
     def record_relative_latency(self, class_index: int, machine_type: int, elapsed: float) -> float:
         """Record a response or timeout after ``elapsed`` ms.
@@ -42,7 +42,7 @@
         Returns:
             Latency as a multiple of the typical latency of the class on the machine type.
         """
-        ratio = min(elapsed / self.typical[class_index], MAX_RELATIVE_LATENCY)
+        ratio = min(elapsed / self.typical_latencies[class_index], MAX_RELATIVE_LATENCY)
         factor = self.machine_type_factors.get(machine_type, 1.0)
         self.machine_type_factors[machine_type] = factor + MACHINE_TYPE_GAIN * (ratio - factor)
         return ratio / factor
--- a/load_balancer/policy/overload.py
+++ b/load_balancer/policy/overload.py
@@ -50,27 +50,27 @@
         """Remove an attempt from those in flight."""
         self.in_flight -= 1
 
-    def record_result(self, result: AttemptResult, elapsed: float, typical: float) -> float:
+    def record_result(self, result: AttemptResult, elapsed: float, typical_latency: float) -> float:
         """Record the result of an attempt.
 
         Args:
             result: Result of the attempt.
             elapsed: Time in ms since the attempt was sent.
-            typical: Typical latency of the request class in ms.
+            typical_latency: Typical latency of the request class in ms.
 
         Returns:
             Weight of the result as a sign of overload if it is a failure, 0 to 1.
         """
-        weight = self._failure_weight(result, elapsed, typical)
+        weight = self._failure_weight(result, elapsed, typical_latency)
         self.failures.record(result is not AttemptResult.SUCCESS, weight)
         return weight
 
-    def _failure_weight(self, result: AttemptResult, elapsed: float, typical: float) -> float:
+    def _failure_weight(self, result: AttemptResult, elapsed: float, typical_latency: float) -> float:
         """Return how far a failure is a sign of overload; one that put no load on an endpoint is none."""
         if result is AttemptResult.CONNECT_FAILED:
             return 0.0
         if result in (AttemptResult.ERROR, AttemptResult.RESET):
-            return min(1.0, ERROR_WEIGHT * elapsed / typical)
+            return min(1.0, ERROR_WEIGHT * elapsed / typical_latency)
         lowest_latency = self.concurrency.lowest_mean_latency
         if result is AttemptResult.REJECTED and lowest_latency:
             # Full queues come with slow responses or many failures; other rejections have another cause.
--- a/load_balancer/policy/result_recorder.py
+++ b/load_balancer/policy/result_recorder.py
@@ -57,7 +57,9 @@
             return
         succeeded = result is AttemptResult.SUCCESS
         self._retries.record_connection(result is AttemptResult.CONNECT_FAILED)
-        weight = self._overload.record_result(result, event.elapsed, self._latency.typical[class_index])
+        weight = self._overload.record_result(
+            result, event.elapsed, self._latency.typical_latencies[class_index]
+        )
         if succeeded:
             self._latency.record_success(class_index, event.elapsed, self._overload.value)
         if succeeded or result is AttemptResult.TIMEOUT:
--- a/tests/policy/policy_state.py
+++ b/tests/policy/policy_state.py
@@ -77,12 +77,12 @@
 
 def typical_answer_times(driver: PolicyDriver) -> list[float]:
     """The typical answer time of each class, in ms."""
-    return driver.policy._latency.typical
+    return driver.policy._latency.typical_latencies
 
 
 def set_typical_answer_times(driver: PolicyDriver, times: list[float]) -> None:
     """Set the typical answer time of each class, in ms."""
-    driver.policy._latency.typical = times
+    driver.policy._latency.typical_latencies = times
 
 
 def tracked_endpoints(driver: PolicyDriver) -> set[int]:
