--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -41,7 +41,7 @@
         """Mean latency of recent useful responses in ms. Read-only outside this class."""
         self.lowest_mean_latency = 0.0
         """Lowest mean latency in ms; 0 while unknown. Read-only outside this class."""
-        self.peak_rate_per_endpoint = 0.0
+        self.peak_goodput_per_endpoint = 0.0
         """Peak goodput of this node: useful responses per ms and per warm endpoint of the whole fleet."""
         self._useful_responses = 0  # since the last update
         self._observed_time = 0.0  # ms that the goodput is averaged over, at most the window
@@ -105,7 +105,9 @@
         self._goodput += (new_goodput - self._goodput) * elapsed / self._observed_time
         keep = 1 - elapsed / self._peak_window
         self._peak_goodput = max(self._peak_goodput * keep, self._goodput)
-        self.peak_rate_per_endpoint = max(self.peak_rate_per_endpoint * keep, self._goodput / warm_endpoints)
+        self.peak_goodput_per_endpoint = max(
+            self.peak_goodput_per_endpoint * keep, self._goodput / warm_endpoints
+        )
         self._useful_responses = 0
 
     def _update_lowest_latency(self, elapsed: float) -> None:
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -78,7 +78,7 @@
         # Based on responses, as many of the attempts sent may fail. A new node, which has no responses yet,
         # starts with its share of the rate at which one request at a time is served.
         sequential_rate = 1.0 / self._settings.node_count / max(self._latency.typical_latencies)
-        warm_rate = max(self._concurrency.peak_rate_per_endpoint, sequential_rate)
+        warm_rate = max(self._concurrency.peak_goodput_per_endpoint, sequential_rate)
         working_set = self._working_set
         return CAPACITY_SHARE_USED * capacity * warm_rate * working_set.ready_count / working_set.subset.size
 
--- a/tests/policy/policy_state.py
+++ b/tests/policy/policy_state.py
@@ -72,7 +72,7 @@
 
 def set_warm_endpoint_rate(driver: PolicyDriver, per_second: float) -> None:
     """Set the rate at which this node gets answers in time from each endpoint that is warmed up."""
-    driver.policy._overload.concurrency.peak_rate_per_endpoint = per_second / 1000
+    driver.policy._overload.concurrency.peak_goodput_per_endpoint = per_second / 1000
 
 
 def typical_answer_times(driver: PolicyDriver) -> list[float]:
