--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -1,8 +1,9 @@
 """Required concurrency: the attempts in flight that a busy fleet needs from this node.
 
 By Little's law it is the peak goodput times the lowest mean latency, with some headroom; it is at least the
-nominal concurrency and the concurrency proven in operation. Goodput is the rate of useful responses:
-successful ones that are in time, or that are late in a request class that gives weight to late responses.
+nominal concurrency and the sustained concurrency: attempts in flight that were sustained while almost all
+responses were in time. Goodput is the rate of useful responses: successful ones that are in time, or that are
+late in a request class that gives weight to late responses.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 LOWEST_LATENCY_GROWTH_TIME = 100000.0  # ms in which the lowest latency grows e-fold to follow heavier work
 LOW_LATENCY_RATIO = 1.3  # mean latency / lowest mean latency below which responses are fast
 CONGESTED_RATIO = 2.0  # mean latency / lowest mean latency above which most attempts in flight are queued
-MAX_LATE_RATIO = 0.03  # share of late responses below which the attempts in flight are proven sustainable
-MAX_PROVEN_RATIO = 1.5  # maximum of the proven concurrency, as a multiple of the nominal concurrency
+MAX_LATE_RATIO = 0.03  # share of late responses below which the attempts in flight count as sustained
+MAX_SUSTAINED_RATIO = 1.5  # maximum of the sustained concurrency, as a multiple of the nominal concurrency
 MAX_HEADROOM = 1.5  # multiple of the learned concurrency that is required while almost nothing fails
 MAX_GROWTH_FAILURE_RATIO = 0.05  # failure ratio below which a higher send rate counts as growing traffic
 NO_HEADROOM_FAILURE_RATIO = 0.1  # failure ratio from which there is no headroom
@@ -49,7 +50,7 @@
         self._peak_goodput = 0.0  # decaying peak of the goodput, or of the send rate of growing traffic
         self._latency_samples = 0.0  # responses that the mean latency is averaged over
         self._late_ratio = 1.0  # moving share of late responses and timeouts
-        self._proven_concurrency = 0.0  # attempts in flight while almost all responses were in time
+        self._sustained_concurrency = 0.0  # decaying peak
 
     @property
     def congested(self) -> bool:
@@ -88,10 +89,10 @@
         if self._latency_samples >= MIN_SAMPLES:
             self._update_lowest_latency(elapsed)
             self._follow_growth(send_rate, failures.value)
-        self._update_proven_concurrency(elapsed, in_flight, capacity.nominal_concurrency)
+        self._update_sustained_concurrency(elapsed, in_flight, capacity.nominal_concurrency)
         headroom = 1.0 + (MAX_HEADROOM - 1.0) * max(0.0, 1.0 - failures.value / NO_HEADROOM_FAILURE_RATIO)
         learned = headroom * self._peak_goodput * self.lowest_mean_latency
-        self.required = max(capacity.nominal_concurrency, learned, self._proven_concurrency)
+        self.required = max(capacity.nominal_concurrency, learned, self._sustained_concurrency)
         if self._latency_samples < MIN_SAMPLES:
             self.required = max(self.required, 1.0)
 
@@ -122,11 +123,11 @@
         if failure_ratio < MAX_GROWTH_FAILURE_RATIO and low_latency and enough_responses:
             self._peak_goodput = max(self._peak_goodput, send_rate)
 
-    def _update_proven_concurrency(self, elapsed: float, in_flight: float, nominal: float) -> None:
+    def _update_sustained_concurrency(self, elapsed: float, in_flight: float, nominal: float) -> None:
         # Traffic that is served in time is no overload, even where this node has more than its share of it.
         in_time = self._late_ratio < MAX_LATE_RATIO
-        self._proven_concurrency *= 1 - elapsed / (self._peak_window if in_time else self._goodput_window)
+        self._sustained_concurrency *= 1 - elapsed / (self._peak_window if in_time else self._goodput_window)
         if in_time:
-            self._proven_concurrency = max(
-                self._proven_concurrency, min(in_flight, MAX_PROVEN_RATIO * nominal)
+            self._sustained_concurrency = max(
+                self._sustained_concurrency, min(in_flight, MAX_SUSTAINED_RATIO * nominal)
             )
