--- a/load_balancer/policy/failure_ratio.py
+++ b/load_balancer/policy/failure_ratio.py
@@ -22,14 +22,14 @@
         self._attempts = 0.0  # decayed
         self.value = 0.0
         """Weighted failure ratio, 0 to 1. Read-only outside this class."""
-        self.unweighted = 0.0
+        self.unweighted_ratio = 0.0
         """Failure ratio with a weight of 1 for each failure, 0 to 1. Read-only outside this class."""
 
     def record(self, failed: bool, weight: float) -> None:
         """Count an attempt; if it failed, ``weight`` (0 to 1) is how far that is a sign of overload."""
         self._attempts += 1.0 - self._attempts / WINDOW_ATTEMPTS
         self._failures += weight * failed - self._failures / WINDOW_ATTEMPTS
-        self.unweighted += (failed - self.unweighted) / WINDOW_ATTEMPTS
+        self.unweighted_ratio += (failed - self.unweighted_ratio) / WINDOW_ATTEMPTS
         self._update_ratio()
 
     def record_shed_request(self) -> None:
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -108,7 +108,7 @@
         same_class, other_classes = gain.same_class * scale, gain.other_classes * scale
         if gain is NO_RESPONSE_GAIN:
             tracked.unanswered_ratio += same_class * (1.0 - tracked.unanswered_ratio)
-        limit = min(BASE_RATIO_LIMIT + FLEET_RATIO_FACTOR * self._failures.unweighted, MAX_RATIO_LIMIT)
+        limit = min(BASE_RATIO_LIMIT + FLEET_RATIO_FACTOR * self._failures.unweighted_ratio, MAX_RATIO_LIMIT)
         for index, health in enumerate(tracked.class_health):
             class_gain = same_class if index == class_index else other_classes
             health.failure_ratio += class_gain * (1.0 - health.failure_ratio)
--- a/load_balancer/policy/overload.py
+++ b/load_balancer/policy/overload.py
@@ -75,7 +75,7 @@
         if result is AttemptResult.REJECTED and lowest_latency:
             # Full queues come with slow responses or many failures; other rejections have another cause.
             slowdown = self.concurrency.mean_latency / lowest_latency - 1.0
-            return min(1.0, max(slowdown, REJECTION_FAILURE_FACTOR * self.failures.unweighted))
+            return min(1.0, max(slowdown, REJECTION_FAILURE_FACTOR * self.failures.unweighted_ratio))
         return 1.0
 
     def update(self, elapsed: float, lost_attempts: int, capacity: FleetCapacity) -> None:
