--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -88,7 +88,7 @@
         self._now = 0.0
         self._commands: list[Command] = []
         self._requests: dict[int, PendingRequest] = {}  # by id, until their final response
-        self.unserved: Counter[str] = Counter()
+        self.unserved_counts: Counter[str] = Counter()
         """Count of requests that the policy ended itself, by reason; whoever reports it clears it."""
         self._create_components(random.Random(seed))
         self._update_interval = UPDATE_INTERVAL * time_scale(settings)
@@ -161,7 +161,7 @@
         score = self._admission.count_and_score(event.class_index, over_quota)
         if score < self._admission.threshold:
             self._overload.failures.record_shed_request()
-            self.unserved[UnservedReason.SHED] += 1
+            self.unserved_counts[UnservedReason.SHED] += 1
             self._commands.append(RejectRequest(event.request_id, self._admission.retry_after(score)))
             return
         request = self._requests[event.request_id] = PendingRequest(event, self._now, score)
@@ -226,7 +226,7 @@
             self._reject_or_fail(request)
 
     def _end_unserved(self, request: PendingRequest, reason: UnservedReason) -> None:
-        self.unserved[reason] += 1
+        self.unserved_counts[reason] += 1
         self._reject_or_fail(request)
 
     def _reject_or_fail(self, request: PendingRequest) -> None:
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -99,7 +99,9 @@
         self.listener = Listener(loop, config, self, limits.clients)
         self.endpoint_updater = EndpointUpdater(self.endpoints, self.pool, self.policy_runner.submit)
         self.discovery = self._new_discovery_client()
-        self.metrics = MetricsReporter(loop, (self.requests.counters, self.pool.counts, self.policy.unserved))
+        self.metrics = MetricsReporter(
+            loop, (self.requests.counters, self.pool.counts, self.policy.unserved_counts)
+        )
         if config.load_cached_endpoints is not None:
             self._apply_cached_endpoints(config.load_cached_endpoints)
 
