--- a/load_balancer/policy/key_sequencing.py
+++ b/load_balancer/policy/key_sequencing.py
@@ -71,21 +71,23 @@
         return request.key_queue.waiting.index(request) if request.key_queue is not None else 0
 
     @staticmethod
-    def wait_until(request: PendingRequest, requests_ahead: int, latest: float, now: float) -> float | None:
+    def wait_until(
+        request: PendingRequest, requests_ahead: int, latest_start_at: float, now: float
+    ) -> float | None:
         """Return the time in ms until which the request's first attempt has to wait, or None if it may start.
 
         Args:
             request: The request.
             requests_ahead: Number of unfinished requests of the same key ahead of it.
-            latest: Latest time at which the attempt is still useful, ms; the upper bound of the result.
+            latest_start_at: Latest useful start of the attempt, ms; the upper bound of the result.
             now: Time on the policy's clock, ms.
         """
         queue = request.key_queue
         if queue is None or request.attempts_sent:
             return None  # a retry continues the turn of its request
         if requests_ahead or queue.attempts_in_flight:
-            return latest
-        return min(latest, queue.cooldown_until) if queue.cooldown_until > now else None
+            return latest_start_at
+        return min(latest_start_at, queue.cooldown_until) if queue.cooldown_until > now else None
 
     def drop_idle(self, now: float) -> None:
         """Drop queues that have no requests, no attempts in flight and no cooldown at ``now`` ms."""
