--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -191,7 +191,7 @@
         ended = AttemptEnded(
             request_id=command.request_id,
             endpoint_id=command.endpoint_id,
-            request_over=not timed_out,
+            request_ended=not timed_out,
             result=AttemptResult.TIMEOUT if timed_out else AttemptResult.SUCCESS,
             attempt=0,
             elapsed=answered_at - now,
--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -218,7 +218,7 @@
         self._sequencer.attempt_ended(request, event.result, self._now)
         lost = event.result is AttemptResult.TIMEOUT and tracked.answered_later_than(attempt)
         self._recorder.record(tracked, request, event, lost, self._now)
-        if event.request_over or event.request_id not in self._requests:
+        if event.request_ended or event.request_id not in self._requests:
             self._forget_request(event.request_id)
         elif self._retries.draw_retry(self._overload.value):
             self._start_attempt(request)
--- a/load_balancer/policy/events.py
+++ b/load_balancer/policy/events.py
@@ -94,7 +94,7 @@
 
     request_id: int
     endpoint_id: int
-    request_over: bool
+    request_ended: bool
     """Whether the request has ended, with this result or earlier."""
     result: AttemptResult
     attempt: int
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -171,7 +171,7 @@
             not_sent = AttemptEnded(
                 request_id,
                 command.endpoint_id,
-                request_over=True,
+                request_ended=True,
                 result=AttemptResult.NOT_SENT,
                 attempt=number,
                 elapsed=0.0,
@@ -256,10 +256,10 @@
             # A retry would fail in the same way, and invalid requests must not make endpoints look unhealthy.
             is_final, result = True, AttemptResult.CANCELLED
         pending = requests.remove(request_id) if is_final else None
-        request_over = request_id not in requests.pending
+        request_ended = request_id not in requests.pending
         elapsed = now_ms() - attempt.started_at
         ended = AttemptEnded(
-            request_id, attempt.upstream.endpoint_id, request_over, result, attempt.number, elapsed
+            request_id, attempt.upstream.endpoint_id, request_ended, result, attempt.number, elapsed
         )
         # Queued before the response is written, which may start the client's next request. Otherwise the
         # policy would handle that request while it still counts this attempt as in flight.
--- a/load_balancer/simulator/batch_decoder.py
+++ b/load_balancer/simulator/batch_decoder.py
@@ -193,12 +193,12 @@
 
 def _decode_attempt_ended(reader: _RecordReader, at: int) -> AttemptEnded:
     fields = unpack_attempt_ended(reader.frame, at)
-    request_id, endpoint_id, request_over, result_code, attempt, elapsed, count, *values = fields
+    request_id, endpoint_id, request_ended, result_code, attempt, elapsed, count, *values = fields
     result = _RESULTS.get(result_code)
     if result is None or count > MAX_LOAD_REPORT_VALUES:
         raise _result_error(reader, at, result_code, count)
     load_report = tuple(values[:count]) if count else ()
-    return AttemptEnded(request_id, endpoint_id, request_over != 0, result, attempt, elapsed, load_report)
+    return AttemptEnded(request_id, endpoint_id, request_ended != 0, result, attempt, elapsed, load_report)
 
 
 def _decode_health_check_ended(reader: _RecordReader, at: int) -> HealthCheckEnded:
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -81,7 +81,7 @@
             harness.node.pool.cancel(harness.node.requests.last_request_id, 0)
             assert (await client.receive())[0] == 502
             ended = await harness.next_attempt_end()
-            assert ended.request_over and ended.result == AttemptResult.CANCELLED
+            assert ended.request_ended and ended.result == AttemptResult.CANCELLED
 
     run(test())
 
