--- a/load_balancer/policy/endpoint_table.py
+++ b/load_balancer/policy/endpoint_table.py
@@ -123,8 +123,10 @@
             missing_capacity += start_bin.count * (1.0 - initial) * max(0.0, 1.0 - warm_share)
         return max(self.ready_count - missing_capacity, 1.0)
 
-    def strongest(self, factors: Mapping[int, float]) -> float:
-        """Return the largest weight divided by the latency factor of its machine type; 0: no endpoints.
+    def max_effective_weight(self, factors: Mapping[int, float]) -> float:
+        """Return the largest effective weight of the ready endpoints; 0: there are none.
+
+        The effective weight is the weight divided by the latency factor of the machine type.
 
         Args:
             factors: Latency factors by machine type; 1 where there is none.
@@ -136,8 +138,8 @@
         """Return the mean weight of the ready endpoints; 0: there are none."""
         return sum(self._weight_sums.values()) / max(1, self.ready_count)
 
-    def mean_strength(self, factors: Mapping[int, float]) -> float:
-        """Return the mean weight, each weight divided by the latency factor of its machine type.
+    def mean_effective_weight(self, factors: Mapping[int, float]) -> float:
+        """Return the mean effective weight of the ready endpoints; 0: there are none.
 
         Args:
             factors: Latency factors by machine type; 1 where there is none.
--- a/load_balancer/policy/fleet_capacity.py
+++ b/load_balancer/policy/fleet_capacity.py
@@ -39,12 +39,12 @@
         table, latency_factors = self._table, self._latency.machine_type_factors
         self.warm_endpoints = table.warm_endpoints(now)
         # Keeps the last value while no ready endpoint has a weight above 0.
-        self._max_strength = table.strongest(latency_factors) or self._max_strength
+        self._max_strength = table.max_effective_weight(latency_factors) or self._max_strength
         concurrency_per_endpoint = table.mean_weight()
         if not MIN_CONCURRENT_WEIGHT <= concurrency_per_endpoint <= MAX_CONCURRENT_WEIGHT:
             concurrency_per_endpoint = 1.0
         self.nominal_concurrency = concurrency_per_endpoint * self.warm_endpoints / self._node_count
-        self.mean_strength = table.mean_strength(latency_factors) / self._max_strength
+        self.mean_strength = table.mean_effective_weight(latency_factors) / self._max_strength
 
     def strength(self, endpoint: Endpoint) -> float:
         """Return the capacity of an endpoint by weight and machine type; the strongest endpoint has 1."""
--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -42,6 +42,8 @@
     ]
     assert table.ready_count == len(ready) and sorted(table.ids()) == sorted(listed)
     assert table.warm_endpoints(now) == pytest.approx(max(sum(capacities), 1.0), abs=1e-6)
-    strengths = [e.weight / factors.get(e.machine_type, 1.0) for e in ready]
-    assert table.strongest(factors) == max(strengths, default=0.0)
-    assert table.mean_strength(factors) * max(1, len(ready)) == pytest.approx(sum(strengths), abs=1e-9)
+    effective_weights = [e.weight / factors.get(e.machine_type, 1.0) for e in ready]
+    assert table.max_effective_weight(factors) == max(effective_weights, default=0.0)
+    assert table.mean_effective_weight(factors) * max(1, len(ready)) == pytest.approx(
+        sum(effective_weights), abs=1e-9
+    )
