--- a/load_balancer/policy/affinity.py
+++ b/load_balancer/policy/affinity.py
@@ -50,7 +50,7 @@
         """Rebuild the ring from the endpoints of the subset at ``now`` ms."""
         ring = []
         for endpoint_id in self._working_set.subset.ids:
-            strength = self._capacity.strength(self._registry.track(endpoint_id, now).endpoint)
+            strength = self._capacity.relative_capacity(self._registry.track(endpoint_id, now).endpoint)
             points = int(POINTS_PER_ENDPOINT * strength) + 1
             ring += [(hash64(endpoint_id * POINT_STRIDE + point), endpoint_id) for point in range(points)]
         self._ring = sorted(ring)
--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -316,7 +316,7 @@
 
     def _refresh_working_set(self) -> None:
         """Rebuild what depends on the endpoint table; required before the next endpoint selection."""
-        # The order matters: the affinity ring is built from the new subset and the new endpoint strengths.
+        # The order matters: the affinity ring is built from the new subset and the new relative capacities.
         self._working_set.refresh(self._now, self._overload.concurrency.required)
         self._capacity.refresh(self._now)
         if self.settings.endpoints_cache_keys:
--- a/load_balancer/policy/fleet_capacity.py
+++ b/load_balancer/policy/fleet_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of the whole fleet, and strength of each endpoint relative to the strongest one."""
+"""Capacity of the whole fleet, and of each endpoint relative to the one with the largest effective weight."""
 
 from __future__ import annotations
 
@@ -26,27 +26,29 @@
         self._node_count = settings.node_count
         self._table = table
         self._latency = latency
-        self._max_strength = 1.0  # weight / latency factor of the strongest endpoint
+        self._max_effective_weight = 1.0  # largest weight / latency factor
         self.warm_endpoints = 1.0
         """Number of ready endpoints, at least 1; in slow start they count by their share of full capacity."""
         self.nominal_concurrency = 1.0
         """Requests that the fleet serves at once, divided by the number of nodes."""
-        self.mean_strength = 1.0
-        """Mean of ``strength`` over the ready endpoints."""
+        self.mean_relative_capacity = 1.0
+        """Mean of ``relative_capacity`` over the ready endpoints."""
 
     def refresh(self, now: float) -> None:
         """Recompute the capacity at time ``now`` in ms."""
         table, latency_factors = self._table, self._latency.machine_type_factors
         self.warm_endpoints = table.warm_endpoints(now)
         # Keeps the last value while no ready endpoint has a weight above 0.
-        self._max_strength = table.max_effective_weight(latency_factors) or self._max_strength
+        self._max_effective_weight = table.max_effective_weight(latency_factors) or self._max_effective_weight
         concurrency_per_endpoint = table.mean_weight()
         if not MIN_CONCURRENT_WEIGHT <= concurrency_per_endpoint <= MAX_CONCURRENT_WEIGHT:
             concurrency_per_endpoint = 1.0
         self.nominal_concurrency = concurrency_per_endpoint * self.warm_endpoints / self._node_count
-        self.mean_strength = table.mean_effective_weight(latency_factors) / self._max_strength
+        self.mean_relative_capacity = (
+            table.mean_effective_weight(latency_factors) / self._max_effective_weight
+        )
 
-    def strength(self, endpoint: Endpoint) -> float:
-        """Return the capacity of an endpoint by weight and machine type; the strongest endpoint has 1."""
+    def relative_capacity(self, endpoint: Endpoint) -> float:
+        """Return the capacity of an endpoint by weight and machine type, relative to the largest one."""
         latency_factor = self._latency.machine_type_factors.get(endpoint.machine_type, 1.0)
-        return endpoint.weight / latency_factor / self._max_strength
+        return endpoint.weight / latency_factor / self._max_effective_weight
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -119,10 +119,10 @@
             tracked.recent_attempts * self._working_set.subset.size / self._recent_attempts
         )
         in_flight = len(tracked.attempts) - tracked.lost_attempts(now)
-        strength = max(self._capacity.strength(tracked.endpoint), MIN_STRENGTH)
+        strength = max(self._capacity.relative_capacity(tracked.endpoint), MIN_STRENGTH)
         attempt_load = (recent + IN_FLIGHT_WEIGHT * in_flight) / strength
         failures = tracked.failure_ratio(request.arrival.class_index)
-        return (1 + attempt_load * self._capacity.mean_strength) * tracked.slowness * (1 + failures)
+        return (1 + attempt_load * self._capacity.mean_relative_capacity) * tracked.slowness * (1 + failures)
 
     def _candidates(self, key: int, now: float) -> Iterator[int]:
         """Yield the ids of endpoints in the order in which to examine them."""
@@ -146,6 +146,6 @@
         sort_keys: dict[int, tuple[bool, bool]] = {}
         for endpoint_id in sampled:
             endpoint = self._registry.track(endpoint_id, now).endpoint
-            weaker = self._random.random() > self._capacity.strength(endpoint)
+            weaker = self._random.random() > self._capacity.relative_capacity(endpoint)
             sort_keys[endpoint_id] = (endpoint.zone != self._zone, weaker)
         return sorted(sampled, key=sort_keys.__getitem__)
