--- a/load_balancer/policy/affinity.py
+++ b/load_balancer/policy/affinity.py
@@ -14,7 +14,7 @@
 from load_balancer.policy.hashing import MASK_64, hash64
 from load_balancer.policy.working_set import WorkingSet
 
-POINTS_PER_ENDPOINT = 16  # ring points (virtual nodes) for strength 1, besides one for each endpoint
+POINTS_PER_ENDPOINT = 16  # ring points (virtual nodes) for relative capacity 1, besides one for each endpoint
 REPLICAS_PER_SHARE = 2.0  # replicas added to a key for each average endpoint's share of traffic that it gets
 POINT_STRIDE = 1000003  # keeps the hash inputs of different endpoints' points distinct
 REPLICA_STRIDE = 0x632BE59BD9B4E019  # keeps the hash inputs of a key's replicas distinct
@@ -50,8 +50,10 @@
         """Rebuild the ring from the endpoints of the subset at ``now`` ms."""
         ring = []
         for endpoint_id in self._working_set.subset.ids:
-            strength = self._capacity.relative_capacity(self._registry.track(endpoint_id, now).endpoint)
-            points = int(POINTS_PER_ENDPOINT * strength) + 1
+            relative_capacity = self._capacity.relative_capacity(
+                self._registry.track(endpoint_id, now).endpoint
+            )
+            points = int(POINTS_PER_ENDPOINT * relative_capacity) + 1
             ring += [(hash64(endpoint_id * POINT_STRIDE + point), endpoint_id) for point in range(points)]
         self._ring = sorted(ring)
 
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -1,7 +1,7 @@
 """Endpoint selection: an idle endpoint of a random sample, else the less loaded of two.
 
 The fallback is known as the power of two choices. A node sees only its own attempts, so an endpoint counts as
-idle while its recent attempts and attempts in flight from this node are few compared with its strength.
+idle while its recent attempts and attempts in flight from this node are few for its relative capacity.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 COMPARED_ENDPOINTS = 2  # eligible endpoints compared by load if none is idle; later ones must be idle
 SAMPLE_SIZE = 6  # endpoints sampled in search of an idle one
 # Load below which an endpoint counts as idle; it is 1 for one of typical latency without attempts. At mean
-# strength the limit allows no attempt in flight, and 2.3 times an even share of the recent attempts.
+# relative capacity the limit allows no attempt in flight, and 2.3 times an even share of the recent attempts.
 IDLE_LOAD = 2.15
 RECENT_WEIGHT = 0.5  # weight in the load of the endpoint's recent attempts, in multiples of an even share
 IN_FLIGHT_WEIGHT = 4  # weight in the load of an attempt in flight
-MIN_STRENGTH = 1e-6  # avoids division by zero for an endpoint with weight 0
+MIN_RELATIVE_CAPACITY = 1e-6  # avoids division by zero for an endpoint with weight 0
 SLOWNESS_GAIN = 0.4  # weight of a new response in the moving average of an endpoint's slowness
 INITIAL_ATTEMPTS = 1e-9  # recent attempts at the start; avoids division by zero
 
@@ -119,8 +119,8 @@
             tracked.recent_attempts * self._working_set.subset.size / self._recent_attempts
         )
         in_flight = len(tracked.attempts) - tracked.lost_attempts(now)
-        strength = max(self._capacity.relative_capacity(tracked.endpoint), MIN_STRENGTH)
-        attempt_load = (recent + IN_FLIGHT_WEIGHT * in_flight) / strength
+        relative_capacity = max(self._capacity.relative_capacity(tracked.endpoint), MIN_RELATIVE_CAPACITY)
+        attempt_load = (recent + IN_FLIGHT_WEIGHT * in_flight) / relative_capacity
         failures = tracked.failure_ratio(request.arrival.class_index)
         return (1 + attempt_load * self._capacity.mean_relative_capacity) * tracked.slowness * (1 + failures)
 
@@ -138,8 +138,8 @@
         """Sample ids of the subset, with replacement.
 
         Endpoints in this node's zone come first, whether or not crossing zones has a cost; only a cost makes
-        ``_idle_in_own_zone`` search them for an idle one beforehand. Within each group, stronger endpoints
-        are more likely to come first.
+        ``_idle_in_own_zone`` search them for an idle one beforehand. Within each group, endpoints of
+        more capacity are more likely to come first.
         """
         ids, size = self._working_set.subset.ids, self._working_set.subset.size
         sampled = [ids[int(self._random.random() * size)] for _ in range(SAMPLE_SIZE) if ids]
