--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -43,7 +43,7 @@
         self.lowest_mean_latency = 0.0
         """Lowest mean latency in ms; 0 while unknown. Read-only outside this class."""
         self.peak_goodput_per_endpoint = 0.0
-        """Peak goodput of this node: useful responses per ms and per warm endpoint of the whole fleet."""
+        """Peak goodput of this node: useful responses per ms and per effective endpoint of the fleet."""
         self._useful_responses = 0  # since the last update
         self._observed_time = 0.0  # ms that the goodput is averaged over, at most the window
         self._goodput = 0.0  # useful responses per ms
@@ -85,7 +85,7 @@
             failures: Recent failures over all endpoints.
             capacity: Capacity of the fleet.
         """
-        self._update_goodput(elapsed, capacity.warm_endpoints)
+        self._update_goodput(elapsed, capacity.effective_endpoint_count)
         if self._latency_samples >= MIN_SAMPLES:
             self._update_lowest_latency(elapsed)
             self._follow_growth(send_rate, failures.value)
@@ -99,7 +99,7 @@
     def _responses_per_window(self) -> float:
         return self._goodput * GOODPUT_WINDOW * self._time_scale
 
-    def _update_goodput(self, elapsed: float, warm_endpoints: float) -> None:
+    def _update_goodput(self, elapsed: float, effective_endpoint_count: float) -> None:
         # Until a whole window has passed, the average covers the time since the start of the node.
         self._observed_time = min(self._observed_time + elapsed, self._goodput_window)
         new_goodput = self._useful_responses / max(elapsed, 1.0)
@@ -107,7 +107,7 @@
         keep = 1 - elapsed / self._peak_window
         self._peak_goodput = max(self._peak_goodput * keep, self._goodput)
         self.peak_goodput_per_endpoint = max(
-            self.peak_goodput_per_endpoint * keep, self._goodput / warm_endpoints
+            self.peak_goodput_per_endpoint * keep, self._goodput / effective_endpoint_count
         )
         self._useful_responses = 0
 
--- a/load_balancer/policy/endpoint_table.py
+++ b/load_balancer/policy/endpoint_table.py
@@ -106,8 +106,8 @@
             start_bin.sum_of_starts += sign * started_at
             self._start_bins[bin_number] = start_bin
 
-    def warm_endpoints(self, now: float) -> float:
-        """Return the number of ready endpoints at ``now`` ms, at least 1.
+    def effective_endpoint_count(self, now: float) -> float:
+        """Return the effective number of ready endpoints at ``now`` ms, at least 1.
 
         An endpoint in slow start counts as its present share of full capacity. Drops the bins of endpoints
         that have warmed up.
--- a/load_balancer/policy/fleet_capacity.py
+++ b/load_balancer/policy/fleet_capacity.py
@@ -27,8 +27,8 @@
         self._table = table
         self._latency = latency
         self._max_effective_weight = 1.0  # largest weight / latency factor
-        self.warm_endpoints = 1.0
-        """Number of ready endpoints, at least 1; in slow start they count by their share of full capacity."""
+        self.effective_endpoint_count = 1.0
+        """Number of ready endpoints, at least 1; in slow start, one counts by its share of capacity."""
         self.nominal_concurrency = 1.0
         """Requests that the fleet serves at once, divided by the number of nodes."""
         self.mean_relative_capacity = 1.0
@@ -37,13 +37,13 @@
     def refresh(self, now: float) -> None:
         """Recompute the capacity at time ``now`` in ms."""
         table, latency_factors = self._table, self._latency.machine_type_factors
-        self.warm_endpoints = table.warm_endpoints(now)
+        self.effective_endpoint_count = table.effective_endpoint_count(now)
         # Keeps the last value while no ready endpoint has a weight above 0.
         self._max_effective_weight = table.max_effective_weight(latency_factors) or self._max_effective_weight
         concurrency_per_endpoint = table.mean_weight()
         if not MIN_CONCURRENT_WEIGHT <= concurrency_per_endpoint <= MAX_CONCURRENT_WEIGHT:
             concurrency_per_endpoint = 1.0
-        self.nominal_concurrency = concurrency_per_endpoint * self.warm_endpoints / self._node_count
+        self.nominal_concurrency = concurrency_per_endpoint * self.effective_endpoint_count / self._node_count
         self.mean_relative_capacity = (
             table.mean_effective_weight(latency_factors) / self._max_effective_weight
         )
--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -33,7 +33,7 @@
         listed = {
             i: e for i, e in (listed | {entry.id: entry}).items() if e.state is not EndpointState.REMOVED
         }
-        table.warm_endpoints(now)  # drops what it kept of those that have warmed up
+        table.effective_endpoint_count(now)  # drops what it kept of those that have warmed up
     ready = [e for e in listed.values() if e.state is EndpointState.READY]
     duration, initial = configuration.slow_start_duration, configuration.slow_start_initial
     capacities = [
@@ -41,7 +41,7 @@
         for e in ready
     ]
     assert table.ready_count == len(ready) and sorted(table.ids()) == sorted(listed)
-    assert table.warm_endpoints(now) == pytest.approx(max(sum(capacities), 1.0), abs=1e-6)
+    assert table.effective_endpoint_count(now) == pytest.approx(max(sum(capacities), 1.0), abs=1e-6)
     effective_weights = [e.weight / factors.get(e.machine_type, 1.0) for e in ready]
     assert table.max_effective_weight(factors) == max(effective_weights, default=0.0)
     assert table.mean_effective_weight(factors) * max(1, len(ready)) == pytest.approx(
