--- a/load_balancer/policy/result_recorder.py
+++ b/load_balancer/policy/result_recorder.py
@@ -66,7 +66,7 @@
             relative_latency = self._latency.record_relative_latency(
                 class_index, tracked.endpoint.machine_type, event.elapsed
             )
-            self._selector.record_slowness(tracked, relative_latency)
+            self._selector.record_latency(tracked, relative_latency)
         self._record_timeliness(request, event, lost, now)
         if succeeded:
             self._outliers.record_success(tracked, class_index)
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -27,7 +27,7 @@
 RECENT_WEIGHT = 0.5  # weight in the load of the endpoint's recent attempts, in multiples of an even share
 IN_FLIGHT_WEIGHT = 4  # weight in the load of an attempt in flight
 MIN_RELATIVE_CAPACITY = 1e-6  # avoids division by zero for an endpoint with weight 0
-SLOWNESS_GAIN = 0.4  # weight of a new response in the moving average of an endpoint's slowness
+LATENCY_GAIN = 0.4  # weight of a new response in the mean relative latency of an endpoint
 INITIAL_ATTEMPTS = 1e-9  # recent attempts at the start; avoids division by zero
 
 
@@ -62,16 +62,16 @@
         self._recent_attempts += 1
 
     @staticmethod
-    def record_slowness(tracked: TrackedEndpoint, relative_latency: float) -> None:
-        """Update the slowness of an endpoint with a latency, given as a multiple of the typical one."""
-        tracked.slowness += SLOWNESS_GAIN * (relative_latency - tracked.slowness)
+    def record_latency(tracked: TrackedEndpoint, relative_latency: float) -> None:
+        """Update an endpoint's mean relative latency with a latency, as a multiple of the typical one."""
+        tracked.mean_relative_latency += LATENCY_GAIN * (relative_latency - tracked.mean_relative_latency)
 
     def halve_counts(self) -> None:
-        """Halve the attempt counts, and move each slowness halfway back to 1."""
+        """Halve the attempt counts, and move each mean relative latency halfway back to 1."""
         self._recent_attempts /= 2
         for tracked in self._registry:
             tracked.recent_attempts /= 2
-            tracked.slowness = (1 + tracked.slowness) / 2
+            tracked.mean_relative_latency = (1 + tracked.mean_relative_latency) / 2
 
     def pick(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
         """Return the endpoint for the next attempt of a request at ``now`` ms; None: none is eligible."""
@@ -122,7 +122,11 @@
         relative_capacity = max(self._capacity.relative_capacity(tracked.endpoint), MIN_RELATIVE_CAPACITY)
         attempt_load = (recent + IN_FLIGHT_WEIGHT * in_flight) / relative_capacity
         failures = tracked.failure_ratio(request.arrival.class_index)
-        return (1 + attempt_load * self._capacity.mean_relative_capacity) * tracked.slowness * (1 + failures)
+        return (
+            (1 + attempt_load * self._capacity.mean_relative_capacity)
+            * tracked.mean_relative_latency
+            * (1 + failures)
+        )
 
     def _candidates(self, key: int, now: float) -> Iterator[int]:
         """Yield the ids of endpoints in the order in which to examine them."""
--- a/load_balancer/policy/tracked_endpoint.py
+++ b/load_balancer/policy/tracked_endpoint.py
@@ -63,7 +63,7 @@
     """Moving average over all classes of attempts without a response, 0 to 1; written by outliers."""
     recent_attempts: float = 0.0
     """Decayed count of this node's attempts; written by selection."""
-    slowness: float = 1.0
+    mean_relative_latency: float = 1.0
     """Moving average of latencies, as multiples of the typical one; written by selection.
 
     The typical latency is that of the request class and the machine type.
