--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -180,10 +180,10 @@
         if latest_start_at <= self._now:
             self._end_unserved(request, UnservedReason.NO_TIME)
             return
-        wait_until = self._sequencer.wait_until(request, requests_ahead, latest_start_at, self._now)
-        if wait_until is not None:
+        recheck_at = self._sequencer.recheck_at(request, requests_ahead, latest_start_at, self._now)
+        if recheck_at is not None:
             # If the timer fires at ``latest_start_at``, the request is out of time and ends.
-            self._commands.append(SetTimer(wait_until - self._now, request.arrival.request_id))
+            self._commands.append(SetTimer(recheck_at - self._now, request.arrival.request_id))
             return
         tracked = self._selector.pick(request, self._now)
         if tracked is None:
@@ -250,7 +250,7 @@
         if self.settings.can_cancel:
             attempts = sorted(request.attempts_in_flight)
             self._commands.extend(CancelAttempt(request_id, attempt) for attempt in attempts)
-        self._sequencer.finished(request)
+        self._sequencer.request_finished(request)
 
     def _on_timer(self, event: TimerFired) -> None:
         if event.token == WATCH_TIMER_TOKEN:
--- a/load_balancer/policy/key_sequencing.py
+++ b/load_balancer/policy/key_sequencing.py
@@ -45,7 +45,7 @@
             queue.cooldown_until = now + self._cooldown
         self._changed_queues.append(queue)
 
-    def finished(self, request: PendingRequest) -> None:
+    def request_finished(self, request: PendingRequest) -> None:
         """Remove a request that has its final response from its queue."""
         if request.key_queue is not None:
             request.key_queue.waiting.remove(request)
@@ -71,10 +71,10 @@
         return request.key_queue.waiting.index(request) if request.key_queue is not None else 0
 
     @staticmethod
-    def wait_until(
+    def recheck_at(
         request: PendingRequest, requests_ahead: int, latest_start_at: float, now: float
     ) -> float | None:
-        """Return the time in ms until which the request's first attempt has to wait, or None if it may start.
+        """Return the time in ms at which the request is tried again, or None if it may start now.
 
         Args:
             request: The request.
