--- a/load_balancer/policy/affinity.py
+++ b/load_balancer/policy/affinity.py
@@ -51,7 +51,7 @@
         ring = []
         for endpoint_id in self._working_set.subset.ids:
             relative_capacity = self._capacity.relative_capacity(
-                self._registry.track(endpoint_id, now).endpoint
+                self._registry.get_or_track(endpoint_id, now).endpoint
             )
             points = int(POINTS_PER_ENDPOINT * relative_capacity) + 1
             ring += [(hash64(endpoint_id * POINT_STRIDE + point), endpoint_id) for point in range(points)]
--- a/load_balancer/policy/endpoint_registry.py
+++ b/load_balancer/policy/endpoint_registry.py
@@ -35,7 +35,7 @@
         """Return a tracked endpoint, or None if it is not tracked."""
         return self._tracked.get(endpoint_id)
 
-    def track(self, endpoint_id: int, now: float) -> TrackedEndpoint:
+    def get_or_track(self, endpoint_id: int, now: float) -> TrackedEndpoint:
         """Return an endpoint of the endpoint list, and start to track it if it is not tracked yet.
 
         Args:
@@ -57,7 +57,7 @@
         health = [ClassHealth() for _ in self._settings.classes]
         return TrackedEndpoint(entry, initial_budget(entry.id, self._settings.node_index, now), health)
 
-    def apply(self, entry: Endpoint, now: float) -> None:
+    def apply_entry(self, entry: Endpoint, now: float) -> None:
         """Apply one entry of an endpoint update at ``now`` ms."""
         self.table.put(entry)
         tracked = self._tracked.get(entry.id)
--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -302,7 +302,7 @@
         if event.kind is not UpdateKind.DELTA:
             self._remove_unlisted({entry.id for entry in event.endpoints})
         for entry in event.endpoints:
-            self._registry.apply(entry, self._now)
+            self._registry.apply_entry(entry, self._now)
         if event.endpoints or event.kind is not UpdateKind.DELTA:
             self._refresh_working_set()
 
@@ -312,7 +312,7 @@
         for endpoint_id in table.ids():
             entry = table.get(endpoint_id) if endpoint_id not in listed_ids else None
             if entry is not None:
-                self._registry.apply(replace(entry, state=EndpointState.REMOVED), self._now)
+                self._registry.apply_entry(replace(entry, state=EndpointState.REMOVED), self._now)
 
     def _refresh_working_set(self) -> None:
         """Rebuild what depends on the endpoint table; required before the next endpoint selection."""
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -80,7 +80,7 @@
     def _idle_in_own_zone(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
         own_zone_ids = self._working_set.own_zone_ids
         for endpoint_id in self._random.sample(own_zone_ids, min(SAMPLE_SIZE, len(own_zone_ids))):
-            tracked = self._registry.track(endpoint_id, now)
+            tracked = self._registry.get_or_track(endpoint_id, now)
             warm = self._slow_start.capacity_share(tracked.endpoint, now) >= 1.0
             if not warm or not self._eligibility.allows(tracked, request, now):
                 continue
@@ -95,7 +95,7 @@
         max_eligible = SAMPLE_SIZE if is_subset else COMPARED_ENDPOINTS
         chosen, chosen_load, eligible_count = None, 0.0, 0
         for endpoint_id in self._candidates(request.arrival.key, now):
-            tracked = self._registry.track(endpoint_id, now)
+            tracked = self._registry.get_or_track(endpoint_id, now)
             if tracked is chosen or not self._eligibility.allows(tracked, request, now):
                 continue  # the candidates can contain an endpoint twice
             load = self._load(tracked, request, now, RECENT_WEIGHT)
@@ -149,7 +149,7 @@
         sampled = [ids[int(self._random.random() * size)] for _ in range(SAMPLE_SIZE) if ids]
         sort_keys: dict[int, tuple[bool, bool]] = {}
         for endpoint_id in sampled:
-            endpoint = self._registry.track(endpoint_id, now).endpoint
+            endpoint = self._registry.get_or_track(endpoint_id, now).endpoint
             weaker = self._random.random() > self._capacity.relative_capacity(endpoint)
             sort_keys[endpoint_id] = (endpoint.zone != self._zone, weaker)
         return sorted(sampled, key=sort_keys.__getitem__)
--- a/load_balancer/policy/working_set.py
+++ b/load_balancer/policy/working_set.py
@@ -38,7 +38,7 @@
         table = self._registry.table
         sparse = required_concurrency < SPARSE_CONCURRENCY * table.ready_count
         self.subset = choose_subset(table, self._settings, sparse)
-        tracked = [self._registry.track(endpoint_id, now) for endpoint_id in self.subset.ids]
+        tracked = [self._registry.get_or_track(endpoint_id, now) for endpoint_id in self.subset.ids]
         zone = self._settings.zone
         self.own_zone_ids = [
             t.endpoint.id for t in tracked if self._prefers_own_zone and t.endpoint.zone == zone
