--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -66,7 +66,7 @@
 class UnservedReason(StrEnum):
     """Why the policy ended a request without sending a further attempt.
 
-    Requests that end because ``RetryPolicy.draw_retry`` declines a retry are not counted.
+    Requests that end because ``RetryPolicy.should_retry`` declines a retry are not counted.
     """
 
     SHED = "shed below the threshold"
@@ -220,7 +220,7 @@
         self._recorder.record(tracked, request, event, lost, self._now)
         if event.request_ended or event.request_id not in self._requests:
             self._forget_request(event.request_id)
-        elif self._retries.draw_retry(self._overload.value):
+        elif self._retries.should_retry(self._overload.value):
             self._start_attempt(request)
         else:
             self._reject_or_fail(request)
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -1,7 +1,7 @@
 """Attempts of a request: how many, how long, where a retry is safe, and whether the client may retry.
 
 A failed attempt is retried if all of these hold: a random draw allows it, which is less likely under overload
-or with failed connections (``draw_retry``); attempts are left (``has_attempts_left``); time is left
+or with failed connections (``should_retry``); attempts are left (``has_attempts_left``); time is left
 (``latest_start``); an endpoint is eligible that was not tried before and at which the request class allows a
 repeat (``may_send_to``).
 """
@@ -103,8 +103,8 @@
         """Update the share of failed connections with an attempt."""
         self._connect_failures += CONNECT_FAILURE_GAIN * (failed - self._connect_failures)
 
-    def draw_retry(self, overload: float) -> bool:
-        """Draw at random whether to retry a failed attempt.
+    def should_retry(self, overload: float) -> bool:
+        """Return whether to retry a failed attempt, drawn at random.
 
         A retry is the less likely, the higher the overload or the share of failed connections is.
 
