--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -63,15 +63,19 @@
         """Take an attempt from the budget of an endpoint, if that is in slow start."""
         if self.capacity_share(tracked.endpoint, now) < 1.0:
             budget = tracked.slow_start
-            budget.earned = budget.used = int(budget.earned)  # also drops the fraction earned of the next one
+            # Also drops the fraction earned of the next one.
+            budget.earned_attempts = budget.used_attempts = int(budget.earned_attempts)
 
     def _accrue_and_check(self, budget: SlowStartBudget, capacity: float, now: float) -> bool:
         rate = self._earning_rate(capacity)
-        budget.earned += rate * (now - budget.earned_at)
-        budget.earned_at = now
-        whole_attempts = int(budget.earned)
+        budget.earned_attempts += rate * (now - budget.updated_at)
+        budget.updated_at = now
+        whole_attempts = int(budget.earned_attempts)
         # The fraction beyond the whole attempts shows how long ago the last of them was earned.
-        return whole_attempts > budget.used and budget.earned - whole_attempts <= rate * self._lifetime(rate)
+        return (
+            whole_attempts > budget.used_attempts
+            and budget.earned_attempts - whole_attempts <= rate * self._lifetime(rate)
+        )
 
     def _earning_rate(self, capacity: float) -> float:
         """Return the attempts per ms that this node earns at an endpoint with this share of its capacity."""
--- a/load_balancer/policy/slow_start_budget.py
+++ b/load_balancer/policy/slow_start_budget.py
@@ -13,11 +13,11 @@
 class SlowStartBudget:
     """Attempts earned and used by a node at one endpoint; written only by ``slow_start``."""
 
-    earned: float
+    earned_attempts: float
     """Attempts earned so far, including a fraction of the next one."""
-    earned_at: float
+    updated_at: float
     """Time in ms up to which earned attempts have been added."""
-    used: int = 0
+    used_attempts: int = 0
     """Whole attempts earned when the latest one was sent; only those earned since can be used."""
 
 
@@ -27,4 +27,4 @@
     The fractions are spread evenly over the nodes, so that few nodes earn an attempt at the same time.
     """
     phase = (node_index * GOLDEN_RATIO + hash64(endpoint_id) / 2**64) % 1.0
-    return SlowStartBudget(earned=phase, earned_at=now)
+    return SlowStartBudget(earned_attempts=phase, updated_at=now)
