--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -17,7 +17,7 @@
 SHEDDING_LOG_ON = 25.0  # threshold above which shedding is logged as on; lighter shedding is not logged
 SHEDDING_LOG_OFF = 1.0  # threshold at or below which shedding is logged as off
 RETRY_AFTER_JITTER = 0.1  # random share of the Retry-After delay; spreads the retries of clients
-INITIAL_COUNT = 1e-9  # requests of each group before any arrive; keeps the shares defined
+INITIAL_REQUESTS = 1e-9  # requests of each group at the start; keeps the shares defined
 
 
 class Admission:
@@ -43,7 +43,7 @@
         ]
         groups = range(len(self._weights))
         self._groups_by_weight = sorted(groups, key=self._weights.__getitem__)
-        self._request_counts = [INITIAL_COUNT for _ in groups]  # decayed
+        self._request_counts = [INITIAL_REQUESTS for _ in groups]  # decayed
         self._band_start = [0.0 for _ in groups]
         self._band_width = [MAX_SCORE for _ in groups]
         self.threshold = 0.0
