--- a/load_balancer/policy/packed_table.py
+++ b/load_balancer/policy/packed_table.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, row_format: str) -> None:
-        self._struct = Struct(row_format)
+        self._row_struct = Struct(row_format)
         self._bucket_bits = 0  # the number of buckets is 2 ** _bucket_bits
         self._keys: list[array[int]] = [array("Q")]
         self._rows: list[bytearray] = [bytearray()]
@@ -47,7 +47,11 @@
     def get(self, key: int) -> tuple[Any, ...] | None:
         """Return the row of a key, or None if there is none."""
         bucket, position, found = self._find(key)
-        return self._struct.unpack_from(self._rows[bucket], position * self._struct.size) if found else None
+        return (
+            self._row_struct.unpack_from(self._rows[bucket], position * self._row_struct.size)
+            if found
+            else None
+        )
 
     def put(self, key: int, *row: Any) -> None:
         """Insert a row, or replace the row of its key.
@@ -55,9 +59,9 @@
         Raises:
             struct.error: The values don't match the row format.
         """
-        packed = self._struct.pack(*row)
+        packed = self._row_struct.pack(*row)
         bucket, position, found = self._find(key)
-        offset, size = position * self._struct.size, self._struct.size
+        offset, size = position * self._row_struct.size, self._row_struct.size
         if found:
             self._rows[bucket][offset : offset + size] = packed
             return
@@ -71,9 +75,9 @@
         """Remove the row of a key, if there is one."""
         bucket, position, found = self._find(key)
         if found:
-            offset = position * self._struct.size
+            offset = position * self._row_struct.size
             del self._keys[bucket][position]
-            del self._rows[bucket][offset : offset + self._struct.size]
+            del self._rows[bucket][offset : offset + self._row_struct.size]
             self._count -= 1
 
     def _split_buckets(self) -> None:
@@ -84,7 +88,7 @@
         for bucket, (keys, rows) in enumerate(zip(old_keys, old_rows, strict=True)):
             split = bisect_left(keys, (2 * bucket + 1) << (KEY_BITS - self._bucket_bits))
             self._keys += [keys[:split], keys[split:]]
-            self._rows += [rows[: split * self._struct.size], rows[split * self._struct.size :]]
+            self._rows += [rows[: split * self._row_struct.size], rows[split * self._row_struct.size :]]
 
     def items(self, low: int = 0, high: int = 1 << KEY_BITS) -> Iterator[tuple[int, tuple[Any, ...]]]:
         """Yield keys from ``low`` to below ``high`` in order, with their rows.
@@ -95,7 +99,7 @@
             return
         shift = KEY_BITS - self._bucket_bits
         for bucket in range(low >> shift, ((high - 1) >> shift) + 1):
-            keys, rows, size = self._keys[bucket], self._rows[bucket], self._struct.size
+            keys, rows, size = self._keys[bucket], self._rows[bucket], self._row_struct.size
             end = bisect_left(keys, high) if high < 1 << KEY_BITS else len(keys)
             for position in range(bisect_left(keys, low), end):
-                yield keys[position], self._struct.unpack_from(rows, position * size)
+                yield keys[position], self._row_struct.unpack_from(rows, position * size)
