--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -50,7 +50,7 @@
         self._peak_goodput = 0.0  # decaying peak of the goodput, or of the send rate of growing traffic
         self._latency_samples = 0.0  # responses that the mean latency is averaged over
         self._late_ratio = 1.0  # moving share of late responses and timeouts
-        self._sustained_concurrency = 0.0  # decaying peak
+        self._sustained_concurrency = 0.0  # decaying peak of attempts in flight, while in time
 
     @property
     def congested(self) -> bool:
