--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -1,8 +1,9 @@
 """Required concurrency: the attempts in flight that a busy fleet needs from this node.
 
 By Little's law it is the peak goodput times the lowest mean latency, with some headroom; it is at least the
-nominal concurrency and the concurrency proven in operation. Goodput is the rate of useful responses:
-successful ones that are in time, or that are late in a request class that gives weight to late responses.
+nominal concurrency and the sustained concurrency: attempts in flight that were sustained while almost all
+responses were in time. Goodput is the rate of useful responses: successful ones that are in time, or that are
+late in a request class that gives weight to late responses.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 LOWEST_LATENCY_GROWTH_TIME = 100000.0  # ms in which the lowest latency grows e-fold to follow heavier work
 LOW_LATENCY_RATIO = 1.3  # mean latency / lowest mean latency below which responses are fast
 CONGESTED_RATIO = 2.0  # mean latency / lowest mean latency above which most attempts in flight are queued
-MAX_LATE_RATIO = 0.03  # share of late responses below which the attempts in flight are proven sustainable
-MAX_PROVEN_RATIO = 1.5  # maximum of the proven concurrency, as a multiple of the nominal concurrency
+MAX_LATE_RATIO = 0.03  # share of late responses below which the attempts in flight count as sustained
+MAX_SUSTAINED_RATIO = 1.5  # maximum of the sustained concurrency, as a multiple of the nominal concurrency
 MAX_HEADROOM = 1.5  # multiple of the learned concurrency that is required while almost nothing fails
 MAX_GROWTH_FAILURE_RATIO = 0.05  # failure ratio below which a higher send rate counts as growing traffic
 NO_HEADROOM_FAILURE_RATIO = 0.1  # failure ratio from which there is no headroom
@@ -41,15 +42,15 @@
         """Mean latency of recent useful responses in ms. Read-only outside this class."""
         self.lowest_mean_latency = 0.0
         """Lowest mean latency in ms; 0 while unknown. Read-only outside this class."""
-        self.peak_rate_per_endpoint = 0.0
-        """Peak goodput of this node: useful responses per ms and per warm endpoint of the whole fleet."""
+        self.peak_goodput_per_endpoint = 0.0
+        """Peak goodput of this node: useful responses per ms and per effective endpoint of the fleet."""
         self._useful_responses = 0  # since the last update
         self._observed_time = 0.0  # ms that the goodput is averaged over, at most the window
         self._goodput = 0.0  # useful responses per ms
         self._peak_goodput = 0.0  # decaying peak of the goodput, or of the send rate of growing traffic
         self._latency_samples = 0.0  # responses that the mean latency is averaged over
         self._late_ratio = 1.0  # moving share of late responses and timeouts
-        self._proven_concurrency = 0.0  # attempts in flight while almost all responses were in time
+        self._sustained_concurrency = 0.0  # decaying peak of attempts in flight, while in time
 
     @property
     def congested(self) -> bool:
@@ -84,28 +85,30 @@
             failures: Recent failures over all endpoints.
             capacity: Capacity of the fleet.
         """
-        self._update_goodput(elapsed, capacity.warm_endpoints)
+        self._update_goodput(elapsed, capacity.effective_endpoint_count)
         if self._latency_samples >= MIN_SAMPLES:
             self._update_lowest_latency(elapsed)
             self._follow_growth(send_rate, failures.value)
-        self._update_proven_concurrency(elapsed, in_flight, capacity.nominal_concurrency)
+        self._update_sustained_concurrency(elapsed, in_flight, capacity.nominal_concurrency)
         headroom = 1.0 + (MAX_HEADROOM - 1.0) * max(0.0, 1.0 - failures.value / NO_HEADROOM_FAILURE_RATIO)
         learned = headroom * self._peak_goodput * self.lowest_mean_latency
-        self.required = max(capacity.nominal_concurrency, learned, self._proven_concurrency)
+        self.required = max(capacity.nominal_concurrency, learned, self._sustained_concurrency)
         if self._latency_samples < MIN_SAMPLES:
             self.required = max(self.required, 1.0)
 
     def _responses_per_window(self) -> float:
         return self._goodput * GOODPUT_WINDOW * self._time_scale
 
-    def _update_goodput(self, elapsed: float, warm_endpoints: float) -> None:
+    def _update_goodput(self, elapsed: float, effective_endpoint_count: float) -> None:
         # Until a whole window has passed, the average covers the time since the start of the node.
         self._observed_time = min(self._observed_time + elapsed, self._goodput_window)
         new_goodput = self._useful_responses / max(elapsed, 1.0)
         self._goodput += (new_goodput - self._goodput) * elapsed / self._observed_time
         keep = 1 - elapsed / self._peak_window
         self._peak_goodput = max(self._peak_goodput * keep, self._goodput)
-        self.peak_rate_per_endpoint = max(self.peak_rate_per_endpoint * keep, self._goodput / warm_endpoints)
+        self.peak_goodput_per_endpoint = max(
+            self.peak_goodput_per_endpoint * keep, self._goodput / effective_endpoint_count
+        )
         self._useful_responses = 0
 
     def _update_lowest_latency(self, elapsed: float) -> None:
@@ -120,11 +123,11 @@
         if failure_ratio < MAX_GROWTH_FAILURE_RATIO and low_latency and enough_responses:
             self._peak_goodput = max(self._peak_goodput, send_rate)
 
-    def _update_proven_concurrency(self, elapsed: float, in_flight: float, nominal: float) -> None:
+    def _update_sustained_concurrency(self, elapsed: float, in_flight: float, nominal: float) -> None:
         # Traffic that is served in time is no overload, even where this node has more than its share of it.
         in_time = self._late_ratio < MAX_LATE_RATIO
-        self._proven_concurrency *= 1 - elapsed / (self._peak_window if in_time else self._goodput_window)
+        self._sustained_concurrency *= 1 - elapsed / (self._peak_window if in_time else self._goodput_window)
         if in_time:
-            self._proven_concurrency = max(
-                self._proven_concurrency, min(in_flight, MAX_PROVEN_RATIO * nominal)
+            self._sustained_concurrency = max(
+                self._sustained_concurrency, min(in_flight, MAX_SUSTAINED_RATIO * nominal)
             )
--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -66,7 +66,7 @@
 class UnservedReason(StrEnum):
     """Why the policy ended a request without sending a further attempt.
 
-    Requests that end because ``RetryPolicy.draw_retry`` declines a retry are not counted.
+    Requests that end because ``RetryPolicy.should_retry`` declines a retry are not counted.
     """
 
     SHED = "shed below the threshold"
@@ -88,7 +88,7 @@
         self._now = 0.0
         self._commands: list[Command] = []
         self._requests: dict[int, PendingRequest] = {}  # by id, until their final response
-        self.unserved: Counter[str] = Counter()
+        self.unserved_counts: Counter[str] = Counter()
         """Count of requests that the policy ended itself, by reason; whoever reports it clears it."""
         self._create_components(random.Random(seed))
         self._update_interval = UPDATE_INTERVAL * time_scale(settings)
@@ -161,7 +161,7 @@
         score = self._admission.count_and_score(event.class_index, over_quota)
         if score < self._admission.threshold:
             self._overload.failures.record_shed_request()
-            self.unserved[UnservedReason.SHED] += 1
+            self.unserved_counts[UnservedReason.SHED] += 1
             self._commands.append(RejectRequest(event.request_id, self._admission.retry_after(score)))
             return
         request = self._requests[event.request_id] = PendingRequest(event, self._now, score)
@@ -172,37 +172,39 @@
     def _start_attempt(self, request: PendingRequest) -> None:
         """Send an attempt, wait for earlier requests of the key, or end a request that can't be served."""
         requests_ahead = self._sequencer.position(request)
-        typical = self._latency.typical[request.arrival.class_index]
+        typical_latency = self._latency.typical_latencies[request.arrival.class_index]
         if not self._retries.has_attempts_left(request):
             self._end_unserved(request, UnservedReason.NO_ATTEMPTS_LEFT)
             return
-        latest_start_at = self._retries.latest_start(request, typical, requests_ahead)
+        latest_start_at = self._retries.latest_start(request, typical_latency, requests_ahead)
         if latest_start_at <= self._now:
             self._end_unserved(request, UnservedReason.NO_TIME)
             return
-        wait_until = self._sequencer.wait_until(request, requests_ahead, latest_start_at, self._now)
-        if wait_until is not None:
+        recheck_at = self._sequencer.recheck_at(request, requests_ahead, latest_start_at, self._now)
+        if recheck_at is not None:
             # If the timer fires at ``latest_start_at``, the request is out of time and ends.
-            self._commands.append(SetTimer(wait_until - self._now, request.arrival.request_id))
+            self._commands.append(SetTimer(recheck_at - self._now, request.arrival.request_id))
             return
         tracked = self._selector.pick(request, self._now)
         if tracked is None:
             self._end_unserved(request, UnservedReason.NO_ENDPOINT)
             return
-        self._send_attempt(request, tracked, typical)
+        self._send_attempt(request, tracked, typical_latency)
 
-    def _send_attempt(self, request: PendingRequest, tracked: TrackedEndpoint, typical: float) -> None:
-        """Send an attempt to an endpoint; ``typical`` is the typical latency of the request class in ms."""
+    def _send_attempt(
+        self, request: PendingRequest, tracked: TrackedEndpoint, typical_latency: float
+    ) -> None:
+        """Send an attempt to an endpoint; ``typical_latency`` is that of the request class in ms."""
         # The registry comes first: it reads the attempt number that the retry policy then increments. The
         # timeout comes last: it depends on the number of attempts left after this one.
-        self._registry.attempt_sent(request, tracked, self._now, self._now + OVERDUE_FACTOR * typical)
+        self._registry.attempt_sent(request, tracked, self._now, self._now + OVERDUE_FACTOR * typical_latency)
         self._retries.attempt_sent(request, tracked.endpoint, self._now)
         self._sequencer.attempt_sent(request)
         self._overload.attempt_sent()
         self._selector.attempt_sent(tracked)
         self._slow_start.attempt_sent(tracked, self._now)
         congested = self._overload.concurrency.congested
-        timeout = self._retries.timeout(request, typical, congested, self._now)
+        timeout = self._retries.timeout(request, typical_latency, congested, self._now)
         self._commands.append(SendAttempt(request.arrival.request_id, tracked.endpoint.id, timeout))
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -216,15 +218,15 @@
         self._sequencer.attempt_ended(request, event.result, self._now)
         lost = event.result is AttemptResult.TIMEOUT and tracked.answered_later_than(attempt)
         self._recorder.record(tracked, request, event, lost, self._now)
-        if event.request_over or event.request_id not in self._requests:
+        if event.request_ended or event.request_id not in self._requests:
             self._forget_request(event.request_id)
-        elif self._retries.draw_retry(self._overload.value):
+        elif self._retries.should_retry(self._overload.value):
             self._start_attempt(request)
         else:
             self._reject_or_fail(request)
 
     def _end_unserved(self, request: PendingRequest, reason: UnservedReason) -> None:
-        self.unserved[reason] += 1
+        self.unserved_counts[reason] += 1
         self._reject_or_fail(request)
 
     def _reject_or_fail(self, request: PendingRequest) -> None:
@@ -248,7 +250,7 @@
         if self.settings.can_cancel:
             attempts = sorted(request.attempts_in_flight)
             self._commands.extend(CancelAttempt(request_id, attempt) for attempt in attempts)
-        self._sequencer.finished(request)
+        self._sequencer.request_finished(request)
 
     def _on_timer(self, event: TimerFired) -> None:
         if event.token == WATCH_TIMER_TOKEN:
@@ -300,7 +302,7 @@
         if event.kind is not UpdateKind.DELTA:
             self._remove_unlisted({entry.id for entry in event.endpoints})
         for entry in event.endpoints:
-            self._registry.apply(entry, self._now)
+            self._registry.apply_entry(entry, self._now)
         if event.endpoints or event.kind is not UpdateKind.DELTA:
             self._refresh_working_set()
 
@@ -310,11 +312,11 @@
         for endpoint_id in table.ids():
             entry = table.get(endpoint_id) if endpoint_id not in listed_ids else None
             if entry is not None:
-                self._registry.apply(replace(entry, state=EndpointState.REMOVED), self._now)
+                self._registry.apply_entry(replace(entry, state=EndpointState.REMOVED), self._now)
 
     def _refresh_working_set(self) -> None:
         """Rebuild what depends on the endpoint table; required before the next endpoint selection."""
-        # The order matters: the affinity ring is built from the new subset and the new endpoint strengths.
+        # The order matters: the affinity ring is built from the new subset and the new relative capacities.
         self._working_set.refresh(self._now, self._overload.concurrency.required)
         self._capacity.refresh(self._now)
         if self.settings.endpoints_cache_keys:
--- a/load_balancer/policy/result_recorder.py
+++ b/load_balancer/policy/result_recorder.py
@@ -57,14 +57,16 @@
             return
         succeeded = result is AttemptResult.SUCCESS
         self._retries.record_connection(result is AttemptResult.CONNECT_FAILED)
-        weight = self._overload.record_result(result, event.elapsed, self._latency.typical[class_index])
+        weight = self._overload.record_result(
+            result, event.elapsed, self._latency.typical_latencies[class_index]
+        )
         if succeeded:
             self._latency.record_success(class_index, event.elapsed, self._overload.value)
         if succeeded or result is AttemptResult.TIMEOUT:
             relative_latency = self._latency.record_relative_latency(
                 class_index, tracked.endpoint.machine_type, event.elapsed
             )
-            self._selector.record_slowness(tracked, relative_latency)
+            self._selector.record_latency(tracked, relative_latency)
         self._record_timeliness(request, event, lost, now)
         if succeeded:
             self._outliers.record_success(tracked, class_index)
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -1,7 +1,7 @@
 """Endpoint selection: an idle endpoint of a random sample, else the less loaded of two.
 
 The fallback is known as the power of two choices. A node sees only its own attempts, so an endpoint counts as
-idle while its recent attempts and attempts in flight from this node are few compared with its strength.
+idle while its recent attempts and attempts in flight from this node are few for its relative capacity.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 COMPARED_ENDPOINTS = 2  # eligible endpoints compared by load if none is idle; later ones must be idle
 SAMPLE_SIZE = 6  # endpoints sampled in search of an idle one
 # Load below which an endpoint counts as idle; it is 1 for one of typical latency without attempts. At mean
-# strength the limit allows no attempt in flight, and 2.3 times an even share of the recent attempts.
+# relative capacity the limit allows no attempt in flight, and 2.3 times an even share of the recent attempts.
 IDLE_LOAD = 2.15
 RECENT_WEIGHT = 0.5  # weight in the load of the endpoint's recent attempts, in multiples of an even share
 IN_FLIGHT_WEIGHT = 4  # weight in the load of an attempt in flight
-MIN_STRENGTH = 1e-6  # avoids division by zero for an endpoint with weight 0
-SLOWNESS_GAIN = 0.4  # weight of a new response in the moving average of an endpoint's slowness
+MIN_RELATIVE_CAPACITY = 1e-6  # avoids division by zero for an endpoint with weight 0
+LATENCY_GAIN = 0.4  # weight of a new response in the mean relative latency of an endpoint
 INITIAL_ATTEMPTS = 1e-9  # recent attempts at the start; avoids division by zero
 
 
@@ -62,16 +62,16 @@
         self._recent_attempts += 1
 
     @staticmethod
-    def record_slowness(tracked: TrackedEndpoint, relative_latency: float) -> None:
-        """Update the slowness of an endpoint with a latency, given as a multiple of the typical one."""
-        tracked.slowness += SLOWNESS_GAIN * (relative_latency - tracked.slowness)
+    def record_latency(tracked: TrackedEndpoint, relative_latency: float) -> None:
+        """Update an endpoint's mean relative latency with a latency, as a multiple of the typical one."""
+        tracked.mean_relative_latency += LATENCY_GAIN * (relative_latency - tracked.mean_relative_latency)
 
     def halve_counts(self) -> None:
-        """Halve the attempt counts, and move each slowness halfway back to 1."""
+        """Halve the attempt counts, and move each mean relative latency halfway back to 1."""
         self._recent_attempts /= 2
         for tracked in self._registry:
             tracked.recent_attempts /= 2
-            tracked.slowness = (1 + tracked.slowness) / 2
+            tracked.mean_relative_latency = (1 + tracked.mean_relative_latency) / 2
 
     def pick(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
         """Return the endpoint for the next attempt of a request at ``now`` ms; None: none is eligible."""
@@ -80,7 +80,7 @@
     def _idle_in_own_zone(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
         own_zone_ids = self._working_set.own_zone_ids
         for endpoint_id in self._random.sample(own_zone_ids, min(SAMPLE_SIZE, len(own_zone_ids))):
-            tracked = self._registry.track(endpoint_id, now)
+            tracked = self._registry.get_or_track(endpoint_id, now)
             warm = self._slow_start.capacity_share(tracked.endpoint, now) >= 1.0
             if not warm or not self._eligibility.allows(tracked, request, now):
                 continue
@@ -95,7 +95,7 @@
         max_eligible = SAMPLE_SIZE if is_subset else COMPARED_ENDPOINTS
         chosen, chosen_load, eligible_count = None, 0.0, 0
         for endpoint_id in self._candidates(request.arrival.key, now):
-            tracked = self._registry.track(endpoint_id, now)
+            tracked = self._registry.get_or_track(endpoint_id, now)
             if tracked is chosen or not self._eligibility.allows(tracked, request, now):
                 continue  # the candidates can contain an endpoint twice
             load = self._load(tracked, request, now, RECENT_WEIGHT)
@@ -119,10 +119,14 @@
             tracked.recent_attempts * self._working_set.subset.size / self._recent_attempts
         )
         in_flight = len(tracked.attempts) - tracked.lost_attempts(now)
-        strength = max(self._capacity.strength(tracked.endpoint), MIN_STRENGTH)
-        attempt_load = (recent + IN_FLIGHT_WEIGHT * in_flight) / strength
+        relative_capacity = max(self._capacity.relative_capacity(tracked.endpoint), MIN_RELATIVE_CAPACITY)
+        attempt_load = (recent + IN_FLIGHT_WEIGHT * in_flight) / relative_capacity
         failures = tracked.failure_ratio(request.arrival.class_index)
-        return (1 + attempt_load * self._capacity.mean_strength) * tracked.slowness * (1 + failures)
+        return (
+            (1 + attempt_load * self._capacity.mean_relative_capacity)
+            * tracked.mean_relative_latency
+            * (1 + failures)
+        )
 
     def _candidates(self, key: int, now: float) -> Iterator[int]:
         """Yield the ids of endpoints in the order in which to examine them."""
@@ -138,14 +142,14 @@
         """Sample ids of the subset, with replacement.
 
         Endpoints in this node's zone come first, whether or not crossing zones has a cost; only a cost makes
-        ``_idle_in_own_zone`` search them for an idle one beforehand. Within each group, stronger endpoints
-        are more likely to come first.
+        ``_idle_in_own_zone`` search them for an idle one beforehand. Within each group, endpoints of
+        more capacity are more likely to come first.
         """
         ids, size = self._working_set.subset.ids, self._working_set.subset.size
         sampled = [ids[int(self._random.random() * size)] for _ in range(SAMPLE_SIZE) if ids]
         sort_keys: dict[int, tuple[bool, bool]] = {}
         for endpoint_id in sampled:
-            endpoint = self._registry.track(endpoint_id, now).endpoint
-            weaker = self._random.random() > self._capacity.strength(endpoint)
+            endpoint = self._registry.get_or_track(endpoint_id, now).endpoint
+            weaker = self._random.random() > self._capacity.relative_capacity(endpoint)
             sort_keys[endpoint_id] = (endpoint.zone != self._zone, weaker)
         return sorted(sampled, key=sort_keys.__getitem__)
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -63,22 +63,26 @@
         """Take an attempt from the budget of an endpoint, if that is in slow start."""
         if self.capacity_share(tracked.endpoint, now) < 1.0:
             budget = tracked.slow_start
-            budget.earned = budget.used = int(budget.earned)  # also drops the fraction earned of the next one
+            # Also drops the fraction earned of the next one.
+            budget.earned_attempts = budget.used_attempts = int(budget.earned_attempts)
 
     def _accrue_and_check(self, budget: SlowStartBudget, capacity: float, now: float) -> bool:
         rate = self._earning_rate(capacity)
-        budget.earned += rate * (now - budget.earned_at)
-        budget.earned_at = now
-        whole_attempts = int(budget.earned)
+        budget.earned_attempts += rate * (now - budget.updated_at)
+        budget.updated_at = now
+        whole_attempts = int(budget.earned_attempts)
         # The fraction beyond the whole attempts shows how long ago the last of them was earned.
-        return whole_attempts > budget.used and budget.earned - whole_attempts <= rate * self._lifetime(rate)
+        return (
+            whole_attempts > budget.used_attempts
+            and budget.earned_attempts - whole_attempts <= rate * self._lifetime(rate)
+        )
 
     def _earning_rate(self, capacity: float) -> float:
         """Return the attempts per ms that this node earns at an endpoint with this share of its capacity."""
         # Based on responses, as many of the attempts sent may fail. A new node, which has no responses yet,
         # starts with its share of the rate at which one request at a time is served.
-        sequential_rate = 1.0 / self._settings.node_count / max(self._latency.typical)
-        warm_rate = max(self._concurrency.peak_rate_per_endpoint, sequential_rate)
+        sequential_rate = 1.0 / self._settings.node_count / max(self._latency.typical_latencies)
+        warm_rate = max(self._concurrency.peak_goodput_per_endpoint, sequential_rate)
         working_set = self._working_set
         return CAPACITY_SHARE_USED * capacity * warm_rate * working_set.ready_count / working_set.subset.size
 
--- a/tests/policy/policy_state.py
+++ b/tests/policy/policy_state.py
@@ -72,17 +72,17 @@
 
 def set_warm_endpoint_rate(driver: PolicyDriver, per_second: float) -> None:
     """Set the rate at which this node gets answers in time from each endpoint that is warmed up."""
-    driver.policy._overload.concurrency.peak_rate_per_endpoint = per_second / 1000
+    driver.policy._overload.concurrency.peak_goodput_per_endpoint = per_second / 1000
 
 
 def typical_answer_times(driver: PolicyDriver) -> list[float]:
     """The typical answer time of each class, in ms."""
-    return driver.policy._latency.typical
+    return driver.policy._latency.typical_latencies
 
 
 def set_typical_answer_times(driver: PolicyDriver, times: list[float]) -> None:
     """Set the typical answer time of each class, in ms."""
-    driver.policy._latency.typical = times
+    driver.policy._latency.typical_latencies = times
 
 
 def tracked_endpoints(driver: PolicyDriver) -> set[int]:
