--- a/tests/proxy/test_address_table.py
+++ b/tests/proxy/test_address_table.py
@@ -1,4 +1,4 @@
-"""Addresses as integers."""
+"""Encoding of endpoint addresses as integers."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 @pytest.mark.parametrize("address", [("10.1.0.18", 9000), ("255.255.255.255", 65535), ("a.local", 65535)])
-def test_an_address_is_decoded_as_it_was_encoded(address: Address) -> None:
+def test_decoding_returns_the_encoded_address(address: Address) -> None:
     table = AddressTable()
     encoded = table.encode(address)
     assert 0 <= encoded < 1 << 64 and encoded == table.encode(address)
     assert table.decode(encoded) == address
 
 
-def test_a_full_table_takes_no_further_host_names(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_table_rejects_new_host_names(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(address_table, "MAX_HOST_NAMES", 1)
     table = AddressTable()
     table.encode(("a.local", 1))
