--- a/tests/proxy/test_configuration_reload.py
+++ b/tests/proxy/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP."""
+"""Reload of the configuration file on SIGHUP."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 from tests.proxy.stubs import WAIT, DiscoveryStub, UpstreamStub, make_request
 
 
-def test_sighup_moves_to_the_discovery_in_the_file(tmp_path: Path) -> None:
+def test_sighup_switches_to_the_discovery_address_in_the_file(tmp_path: Path) -> None:
     async def test() -> None:
-        old, new = await UpstreamStub().start(), await UpstreamStub().start()
-        first, second = (
-            await DiscoveryStub([old.entry()]).start(),
-            await DiscoveryStub([new.entry("s-2")], 7).start(),
+        upstream_1, upstream_2 = await UpstreamStub().start(), await UpstreamStub().start()
+        discovery_1, discovery_2 = (
+            await DiscoveryStub([upstream_1.entry()]).start(),
+            await DiscoveryStub([upstream_2.entry("s-2")], 7).start(),
         )
         path = tmp_path / "config.json"
-        # The variable wins at the start; from the signal on the file does.
-        variable = {"ROUTER_DISCOVERY": f"127.0.0.1:{first.port}"}
-        async with running_process(path, 1, variables=variable) as node:
-            while "watch" not in await asyncio.wait_for(first.calls.get(), WAIT):
+        # At the start the environment variable overrides the file; a reload uses the file.
+        environment = {"ROUTER_DISCOVERY": f"127.0.0.1:{discovery_1.port}"}
+        async with running_process(path, 1, variables=environment) as node:
+            while "watch" not in await asyncio.wait_for(discovery_1.calls.get(), WAIT):
                 pass
-            for broken in (
+            for invalid_text in (
                 "{",
                 "",
                 json.dumps(make_config_file())[:200],
                 "[" * 100_000,
                 json.dumps({"discovery": 1}),
             ):
-                path.write_text(broken)
+                path.write_text(invalid_text)
                 node.process.send_signal(signal.SIGHUP)
                 await node.next_line("ERROR configuration unchanged")
             client = await node.connect()
             assert (await client.exchange(make_request()))[0] == 200
-            path.write_text(json.dumps(make_config_file() | {"discovery": f"127.0.0.1:{second.port}"}))
+            path.write_text(json.dumps(make_config_file() | {"discovery": f"127.0.0.1:{discovery_2.port}"}))
             node.process.send_signal(signal.SIGHUP)
-            assert await asyncio.wait_for(second.calls.get(), WAIT) == "/catalog/members"
-            await asyncio.wait_for(first.ended.get(), WAIT)  # of the call for the snapshot
-            await asyncio.wait_for(first.ended.get(), WAIT)  # of the watch
-            assert await asyncio.wait_for(second.calls.get(), WAIT) == "/catalog/members?watch=1&from=7"
+            assert await asyncio.wait_for(discovery_2.calls.get(), WAIT) == "/catalog/members"
+            await asyncio.wait_for(discovery_1.ended.get(), WAIT)  # connection of the snapshot request
+            await asyncio.wait_for(discovery_1.ended.get(), WAIT)  # connection of the watch
+            assert await asyncio.wait_for(discovery_2.calls.get(), WAIT) == "/catalog/members?watch=1&from=7"
             assert (await client.exchange(make_request()))[0] == 200
-            assert (old.requests.qsize(), new.requests.qsize()) == (1, 1)
-            node.process.send_signal(signal.SIGHUP)  # nothing new: the watch stays
+            assert (upstream_1.requests.qsize(), upstream_2.requests.qsize()) == (1, 1)
+            node.process.send_signal(signal.SIGHUP)  # same address: the watch stays open
             await node.next_line("configuration reloaded")
-            second.push(8, [old.entry()], reset=True)
+            discovery_2.push(8, [upstream_1.entry()], reset=True)
             await node.next_line("endpoint list version 8 ")
-            assert second.calls.empty() and first.calls.empty()
+            assert discovery_2.calls.empty() and discovery_1.calls.empty()
 
     uvloop.run(test())
