--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Following the endpoint list over snapshots and watches."""
+"""How the discovery client follows the endpoint list with snapshots and watches."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     ],
     ids=range(7),
 )
-def test_a_malformed_line_changes_nothing_and_a_snapshot_is_fetched(line: bytes) -> None:
+def test_malformed_line_is_rejected_and_a_snapshot_is_fetched(line: bytes) -> None:
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream) as harness:
             client, calls = await harness.connect(), harness.discovery.calls
             assert await calls.get() == "/catalog/members?watch=1&from=1"
             harness.discovery.lines.put_nowait(line + b"\n")
@@ -47,13 +47,13 @@
     run(test())
 
 
-def test_a_watch_that_ends_is_reopened_from_the_last_version() -> None:
+def test_watch_that_ends_is_reopened_from_the_last_version() -> None:
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream) as harness:
             calls = harness.discovery.calls
             assert await calls.get() == "/catalog/members?watch=1&from=1"
-            harness.discovery.push(5, [peer.entry("s-1", "leaving")])
+            harness.discovery.push(5, [upstream.entry("s-1", "leaving")])
             harness.discovery.lines.put_nowait(None)
             assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=5"
             assert harness.node.find_target(stable_id(b"s-1")).state is EndpointState.DRAINING
@@ -61,7 +61,9 @@
     run(test())
 
 
-def test_an_idle_watch_is_reopened(monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+def test_idle_watch_times_out_and_is_reopened(
+    monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -75,55 +77,58 @@
     assert ": TimeoutError; keeping the current endpoint list" in caplog.text
 
 
-@pytest.mark.parametrize("cached", [True, False], ids=["watch", "snapshot"])
-def test_a_response_that_trickles_in_without_end_times_out(
-    cached: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
+@pytest.mark.parametrize("has_cached_list", [True, False], ids=["watch", "snapshot"])
+def test_endless_slow_response_times_out(has_cached_list: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Each piece restarts the timeout of a read, so only the time limit of a whole message ends the call.
     monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 0.2)
     monkeypatch.setattr(discovery, "SNAPSHOT_TIMEOUT_S", 0.2)
 
-    async def drip(self: DiscoveryStub, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond_slowly_without_end(
+        self: DiscoveryStub, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.calls.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.transport.is_closing():
             writer.write(b"1\r\n \r\n")
             await asyncio.sleep(0.01)
 
-    monkeypatch.setattr(DiscoveryStub, "serve", drip)
+    monkeypatch.setattr(DiscoveryStub, "serve", respond_slowly_without_end)
 
     async def test() -> None:
-        changes = {} if cached else {"load_cached_endpoints": None}
-        async with running_node(await UpstreamStub().start(), **changes) as harness:
-            first = await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
-            assert await asyncio.wait_for(harness.discovery.calls.get(), WAIT) == first
+        config_changes = {} if has_cached_list else {"load_cached_endpoints": None}
+        async with running_node(await UpstreamStub().start(), **config_changes) as harness:
+            first_call = await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
+            assert await asyncio.wait_for(harness.discovery.calls.get(), WAIT) == first_call
 
     run(test())
 
 
-@pytest.mark.parametrize(("polled", "maximum"), [(False, 0.2), (True, 0.75)])
-def test_where_discovery_pushes_the_backoff_leaves_most_of_the_drain_grace(
-    polled: bool, maximum: float, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("is_polled", "max_delay"), [(False, 0.2), (True, 0.75)])
+def test_backoff_leaves_most_of_the_drain_grace_if_discovery_pushes(
+    is_polled: bool, max_delay: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    slept: list[float] = []
+    # When a discovery that pushes is available again, nodes count as notified of all changes at once, so each
+    # node must call it within the drain grace, here 500 ms.
+    delays: list[float] = []
     sleep = asyncio.sleep
 
-    async def at_once(delay: float) -> None:
-        slept.append(delay)
+    async def record_delay(delay: float) -> None:
+        delays.append(delay)
         await sleep(0)
 
-    monkeypatch.setattr(asyncio, "sleep", at_once)
+    monkeypatch.setattr(asyncio, "sleep", record_delay)
 
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        settings = replace(make_config(1).settings, endpoints_are_polled=polled)
-        async with running_node(peer, settings=settings, drain_grace=500.0) as harness:
+        upstream = await UpstreamStub().start()
+        settings = replace(make_config(1).settings, endpoints_are_polled=is_polled)
+        async with running_node(upstream, settings=settings, drain_grace=500.0) as harness:
             await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
-            harness.discovery.server.close()  # no new calls
-            harness.discovery.lines.put_nowait(None)  # and the watch ends
+            harness.discovery.server.close()  # refuses new connections
+            harness.discovery.lines.put_nowait(None)  # ends the watch
             async with asyncio.timeout(WAIT):
-                while len(slept) < 40:
+                while len(delays) < 40:
                     await sleep(0)
-        assert maximum / 2 < max(slept) <= maximum
+        assert max_delay / 2 < max(delays) <= max_delay
 
     run(test())
 
@@ -131,27 +136,26 @@
 @pytest.mark.parametrize(
     "timeout", ["WATCH_IDLE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "SNAPSHOT_TIMEOUT_S"]
 )
-def test_after_any_timeout_the_next_call_is_handled_before_a_change_counts_as_notified(timeout: str) -> None:
-    had_contact = timeout == "WATCH_IDLE_TIMEOUT_S"  # calls succeeded before: the backoff is the shortest
+def test_next_call_after_any_timeout_is_handled_before_the_node_counts_as_notified(timeout: str) -> None:
+    # Before a watch became idle, it had sent lines, which reset the backoff.
+    had_contact = timeout == "WATCH_IDLE_TIMEOUT_S"
     backoff = discovery.BACKOFF_INITIAL_S if had_contact else discovery.BACKOFF_MAX_S
     longest_delay = backoff * max(discovery.BACKOFF_JITTER)
     assert getattr(discovery, timeout) + longest_delay + discovery.QUEUE_TIMEOUT_S <= NOTIFIED_AFTER_S
     assert discovery.QUEUE_TIMEOUT_S < discovery.FIRST_BYTE_TIMEOUT_S
 
 
-def test_a_watch_without_any_response_times_out_sooner_than_an_idle_one(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_watch_without_response_times_out_before_the_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "FIRST_BYTE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 4 * WAIT)
 
-    async def swallow(
+    async def read_without_responding(
         self: DiscoveryStub, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.calls.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
         await reader.read()
 
-    monkeypatch.setattr(DiscoveryStub, "serve", swallow)
+    monkeypatch.setattr(DiscoveryStub, "serve", read_without_responding)
 
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
@@ -161,96 +165,100 @@
     run(test())
 
 
-def test_the_policy_is_notified_when_discovery_fails_and_when_it_is_available_again() -> None:
+def test_policy_is_notified_when_discovery_becomes_unavailable_and_available_again() -> None:
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             discovery = harness.node.discovery
             while not discovery.is_failing:
                 harness.discovery.lines.put_nowait(None)
                 await asyncio.sleep(0)
-            lost = await harness.next_event(EndpointUpdate)
-            assert (lost.kind, lost.endpoints) == (
+            unavailable = await harness.next_event(EndpointUpdate)
+            assert (unavailable.kind, unavailable.endpoints) == (
                 UpdateKind.UNAVAILABLE,
                 [],
-            ) and lost.last_contact_at == discovery.last_contact_at
-            again = await harness.next_event(EndpointUpdate)
-            assert (again.kind, again.version, again.endpoints) == (UpdateKind.DELTA, 1, [])
+            ) and unavailable.last_contact_at == discovery.last_contact_at
+            available = await harness.next_event(EndpointUpdate)
+            assert (available.kind, available.version, available.endpoints) == (UpdateKind.DELTA, 1, [])
 
     run(test())
 
 
-def test_an_unread_line_of_the_old_watch_is_dropped_when_the_address_changes(
+def test_unread_line_of_the_old_watch_is_discarded_when_the_address_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    # If the line were applied after the change, it would add an endpoint to the list of the new discovery.
     writers: list[asyncio.StreamWriter] = []
 
-    async def by_hand(self: DiscoveryStub, writer: asyncio.StreamWriter) -> None:
+    async def keep_writer(self: DiscoveryStub, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
-        self.calls.put_nowait("open")
+        self.calls.put_nowait("watch opened")
 
-    monkeypatch.setattr(DiscoveryStub, "write_lines", by_hand)
+    monkeypatch.setattr(DiscoveryStub, "write_lines", keep_writer)
 
-    def line(generation: int, entry: dict[str, object]) -> bytes:
-        data = json.dumps({"generation": generation, "reset": False, "instances": [entry]}).encode() + b"\n"
-        return b"%x\r\n%b\r\n" % (len(data), data)
+    def delta_chunk(generation: int, entry: dict[str, object]) -> bytes:
+        line = json.dumps({"generation": generation, "reset": False, "instances": [entry]}).encode() + b"\n"
+        return b"%x\r\n%b\r\n" % (len(line), line)
 
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        other = await DiscoveryStub([peer.entry("s-2")], 9).start()
-        async with running_node(peer) as harness:
-            while await asyncio.wait_for(harness.discovery.calls.get(), WAIT) != "open":
+        upstream = await UpstreamStub().start()
+        new_discovery = await DiscoveryStub([upstream.entry("s-2")], 9).start()
+        async with running_node(upstream) as harness:
+            while await asyncio.wait_for(harness.discovery.calls.get(), WAIT) != "watch opened":
                 pass
-            writers[0].write(line(2, peer.entry("s-3")))
+            writers[0].write(delta_chunk(2, upstream.entry("s-3")))
             while (await harness.next_event(EndpointUpdate)).version != 2:
                 pass
-            os.write(writers[0].get_extra_info("socket").fileno(), line(3, peer.entry("s-4")))
-            harness.node.discovery.change_address(("127.0.0.1", other.port))  # before the loop reads
-            assert await asyncio.wait_for(other.calls.get(), WAIT) == "/catalog/members"
+            # Both steps without a loop iteration between them, in which the line would be read.
+            os.write(writers[0].get_extra_info("socket").fileno(), delta_chunk(3, upstream.entry("s-4")))
+            harness.node.discovery.change_address(("127.0.0.1", new_discovery.port))
+            assert await asyncio.wait_for(new_discovery.calls.get(), WAIT) == "/catalog/members"
             assert (await harness.next_event(EndpointUpdate)).version == 9
             assert harness.endpoint_ids() == {stable_id(b"s-2")}
 
     run(test())
 
 
-def test_a_watch_whose_first_line_is_always_malformed_backs_off(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    slept: list[float] = []
+def test_watch_whose_first_line_is_always_malformed_backs_off(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Each watch is opened successfully and begins with an empty line, a heartbeat: neither may reset the
+    # backoff, or the node would fetch snapshots without a pause.
+    delays: list[float] = []
     sleep = asyncio.sleep
 
-    async def at_once(delay: float) -> None:
+    async def record_delay(delay: float) -> None:
         if delay:
-            slept.append(delay)
+            delays.append(delay)
         await sleep(0)
 
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             async with asyncio.timeout(WAIT):
-                while len(slept) < 12:
+                while len(delays) < 12:
                     harness.discovery.lines.put_nowait(b'{"generation":2,"reset":false,"instances":[{}]}\n')
                     await harness.discovery.calls.get()
             assert len(harness.endpoint_ids()) == 1
 
-    monkeypatch.setattr(asyncio, "sleep", at_once)
+    monkeypatch.setattr(asyncio, "sleep", record_delay)
     run(test())
-    assert slept[0] < 0.1 and min(slept[8:]) >= discovery.BACKOFF_MAX_REJECTED_S / 2
+    assert delays[0] < 0.1 and min(delays[8:]) >= discovery.BACKOFF_MAX_REJECTED_S / 2
 
 
-def test_a_lower_version_is_rejected_until_discovery_repeats_it(
+def test_lower_version_is_accepted_only_from_repeated_snapshots(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
+    # Repeated snapshots of a lower version show that discovery has restarted its version numbers; a single
+    # one may come from a replica of discovery that lags behind.
     monkeypatch.setattr(discovery, "BACKOFF_INITIAL_S", 0.001)
 
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream) as harness:
             calls = harness.discovery.calls
-            harness.discovery.push(9, [peer.entry("s-2")])
+            harness.discovery.push(9, [upstream.entry("s-2")])
             assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
-            harness.discovery.push(8, [peer.entry("s-3")])
-            for attempt in range(1, MAX_STALE_SNAPSHOTS + 1):  # the snapshot has generation 1
+            harness.discovery.push(8, [upstream.entry("s-3")])
+            for snapshot_number in range(1, MAX_STALE_SNAPSHOTS + 1):  # the stub's snapshot has version 1
                 assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
-                assert attempt == MAX_STALE_SNAPSHOTS or len(harness.endpoint_ids()) == 2
+                assert snapshot_number == MAX_STALE_SNAPSHOTS or len(harness.endpoint_ids()) == 2
             assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
             assert len(harness.endpoint_ids()) == 1
 
