--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Decoding endpoint lists piece by piece, and the errors of malformed ones."""
+"""Incremental decoding of endpoint lists, and the errors that invalid lists raise."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 def decode(text: bytes, max_endpoints: int = 100) -> UpdateDecoder:
-    """A decoder that has been fed the text, in small pieces."""
-    return feed(UpdateDecoder(builder(max_endpoints)), text)
+    """Return a decoder that has received the text in small pieces."""
+    return feed(UpdateDecoder(make_builder(max_endpoints)), text)
 
 
-def builder(max_endpoints: int = 100) -> UpdateBuilder:
+def make_builder(max_endpoints: int = 100) -> UpdateBuilder:
     return UpdateBuilder(
         lambda name: hash(name) & (1 << 64) - 1, lambda name: 0, {}, AddressTable(), max_endpoints
     )
@@ -37,7 +37,7 @@
     return decoder
 
 
-SNAPSHOT = b"".join(snapshot_chunks(20, 3))
+SNAPSHOT = b"".join(snapshot_chunks(20, 3))  # 20 endpoints, version 3
 
 
 @pytest.mark.parametrize(
@@ -101,7 +101,7 @@
     ],
     ids=range(15),
 )
-def test_an_unusable_list_raises_an_error_that_says_what_is_wrong_and_where(
+def test_invalid_list_raises_an_error_with_reason_and_position(
     text: bytes, error: type[EndpointListError], message: str
 ) -> None:
     with pytest.raises(error, match=message.replace("(", r"\(")):
@@ -109,21 +109,21 @@
 
 
 def test_indentation_and_unknown_fields_are_ignored() -> None:
-    plain = decode(SNAPSHOT).finish()
-    raw = json.loads(SNAPSHOT)
-    raw["instances"][3]["more"] = {"a": [1, {"b": None}]}
-    other = decode(json.dumps(raw, indent=3).encode()).finish()
-    assert list(other.rows.items()) == list(plain.rows.items()) and len(plain.rows) == 20
+    expected = decode(SNAPSHOT).finish()
+    document = json.loads(SNAPSHOT)
+    document["instances"][3]["more"] = {"a": [1, {"b": None}]}
+    update = decode(json.dumps(document, indent=3).encode()).finish()
+    assert list(update.rows.items()) == list(expected.rows.items()) and len(expected.rows) == 20
 
 
 def test_builders_are_freed_at_once_without_the_garbage_collector() -> None:
-    # The parser keeps a reference to its target that the garbage collector doesn't see: 5,000 lines of a
-    # watch, with a decoder each, held memory for good.
+    # The ijson parser holds a reference to its target that the garbage collector can't see, so a reference
+    # cycle through it is never freed: 5,000 lines of a watch, with a decoder each, leaked memory.
     gc.disable()
     try:
-        builders = [builder(), builder()]
-        complete, partial = (UpdateDecoder(one) for one in builders)
-        references = [weakref.ref(one) for one in builders]
+        builders = [make_builder(), make_builder()]
+        complete, partial = (UpdateDecoder(builder) for builder in builders)
+        references = [weakref.ref(builder) for builder in builders]
         del builders
         feed(complete, SNAPSHOT).finish()
         feed(partial, SNAPSHOT[:300])
