--- a/tests/proxy/test_endpoint_updater.py
+++ b/tests/proxy/test_endpoint_updater.py
@@ -1,4 +1,4 @@
-"""The endpoint updater."""
+"""The order in which the endpoint updater reports changes to the policy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from tests.proxy.stubs import UpstreamStub
 
 
-def test_endpoints_that_must_not_be_used_any_more_are_reported_first() -> None:
+def test_removed_and_draining_endpoints_are_reported_first() -> None:
+    # Reported later, they could still be sent requests while the rest of a large update is applied.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream, upstream, upstream) as harness:
