--- a/tests/proxy/test_idle_timeout.py
+++ b/tests/proxy/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""How the pool learns for how long upstreams keep idle connections."""
+"""How the pool learns how long upstreams keep idle connections open."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.proxy.stubs import OK, UpstreamStub, make_request
 
 
-def test_idle_timeout_adapts_to_resets_of_idle_connections() -> None:
+def test_idle_timeout_drops_after_consecutive_resets_and_grows_back() -> None:
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             pool = harness.node.pool
@@ -23,7 +23,8 @@
                 (150.0, False),
             ):
                 timeout.record_reuse(idle_ms, alive)
-            assert timeout.current_ms == initial  # one reset, or after little idle time
+            # Single resets, and those after a short idle time, don't count.
+            assert timeout.current_ms == initial
             timeout.record_reuse(140.0, False)
             assert timeout.current_ms == 140.0
             for _ in range(100):
@@ -33,14 +34,14 @@
     run(test())
 
 
-def test_reset_of_a_reused_connection_lowers_the_idle_timeout() -> None:
-    served: list[bytes] = []
+def test_resets_of_reused_connections_lower_the_idle_timeout() -> None:
+    received_heads: list[bytes] = []
 
     async def reset_every_second_request(
         upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        served.append(head)
-        if len(served) % 2:
+        received_heads.append(head)
+        if len(received_heads) % 2:
             writer.write(OK)
         else:
             writer.transport.abort()
@@ -51,7 +52,7 @@
             for _ in range(2):
                 assert (await client.exchange(make_request()))[0] == 200
                 (connection,) = pool.upstreams[stable_id(b"s-1")].idle_connections
-                connection.idle_since -= 1000.0
+                connection.idle_since -= 1000.0  # as if idle for 1 s
                 assert (await client.exchange(make_request()))[0] == 503
             assert 1000.0 <= pool.idle_timeout.current_ms < 5000.0
 
