--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -1,4 +1,4 @@
-"""The counters in the log."""
+"""Report of the counters in the log."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
                 harness.age_idle_connections()
             with caplog.at_level("INFO"):
                 harness.node.metrics.report()
-                harness.node.metrics.report()  # nothing has happened since: no line
+                harness.node.metrics.report()  # logs nothing, since nothing was counted in between
             lines = [record.getMessage() for record in caplog.records]
             expected = "attempts success 3, connections reused 2, connects started 1, responses 200 3"
             assert [line for line in lines if "responses" in line] == [f"in 10 s: {expected}"]
