--- a/tests/proxy/test_policy_runner.py
+++ b/tests/proxy/test_policy_runner.py
@@ -1,4 +1,4 @@
-"""The policy runner."""
+"""How the policy runner handles exceptions."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
             client = await harness.connect()
             handle = harness.node.policy.handle
 
-            def broken(now: float, event: object) -> Any:
-                raise RuntimeError("broken on purpose")
+            def raise_error(now: float, event: object) -> Any:
+                raise RuntimeError("injected failure")
 
-            harness.node.policy.handle = broken  # type: ignore[method-assign]
+            harness.node.policy.handle = raise_error  # type: ignore[method-assign]
             assert (await client.exchange(make_request()))[0] == 500
             harness.node.policy.handle = handle  # type: ignore[method-assign]
             assert (await client.exchange(make_request()))[0] == 200
             assert not harness.node.requests.pending
 
     run(test())
-    assert "broken on purpose" in caplog.text
+    assert "injected failure" in caplog.text
