--- a/tests/proxy/test_response_parser.py
+++ b/tests/proxy/test_response_parser.py
@@ -1,4 +1,4 @@
-"""How responses are parsed, independent of how their bytes are split."""
+"""Parsing of upstream responses, whose bytes may arrive in pieces of any size."""
 
 from __future__ import annotations
 
@@ -12,28 +12,29 @@
 INFORMATIONAL = b"HTTP/1.1 103 Early Hints\r\nNot-Started: 1\r\nContent-Type: x\r\n\r\n"
 
 
-def parse(data: bytes, step: int) -> ResponseParser:
-    """Feed a parser with ``step`` bytes at a time."""
+def parse(data: bytes, piece_size: int) -> ResponseParser:
+    """Return a parser that has received the data in pieces of this size."""
     parser = ResponseParser()
     parser.start_response()
-    for start in range(0, len(data), step):
-        parser.feed(data[start : start + step])
+    for start in range(0, len(data), piece_size):
+        parser.feed(data[start : start + piece_size])
     return parser
 
 
-@pytest.mark.parametrize("step", [1, 7, 1000])
-def test_response_is_complete_with_its_last_byte(step: int) -> None:
-    assert not parse(RESPONSE[:-1], step).complete
-    parser = parse(RESPONSE, step)
+@pytest.mark.parametrize("piece_size", [1, 7, 1000])
+def test_response_is_complete_with_its_last_byte(piece_size: int) -> None:
+    assert not parse(RESPONSE[:-1], piece_size).complete
+    parser = parse(RESPONSE, piece_size)
     assert parser.complete and parser.keep_alive and parser.not_started and not parser.has_excess_data
     assert parser.response() == UpstreamResponse(503, b"full", b"text/plain")
     assert parser.bytes_received == len(RESPONSE)
 
 
-@pytest.mark.parametrize("step", [1, 7, 1000])
-def test_headers_of_informational_responses_are_ignored(step: int) -> None:
+@pytest.mark.parametrize("piece_size", [1, 7, 1000])
+def test_headers_of_informational_responses_are_ignored(piece_size: int) -> None:
     parser = parse(
-        INFORMATIONAL * MAX_INFORMATIONAL_RESPONSES + b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", step
+        INFORMATIONAL * MAX_INFORMATIONAL_RESPONSES + b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+        piece_size,
     )
     assert parser.complete and not parser.not_started
     assert parser.response() == UpstreamResponse(200, b"", b"")
@@ -45,7 +46,7 @@
 
 
 @pytest.mark.parametrize(("size", "is_valid"), [(MAX_BODY_SIZE, True), (MAX_BODY_SIZE + 1, False)])
-def test_body_limit(size: int, is_valid: bool) -> None:
+def test_body_larger_than_the_limit_is_malformed(size: int, is_valid: bool) -> None:
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (size, bytes(size))
     if is_valid:
         assert len(parse(data, 4096).response().body) == size
@@ -54,7 +55,7 @@
             parse(data, 4096)
 
 
-def test_next_response_starts_from_nothing() -> None:
+def test_next_response_keeps_nothing_of_the_previous_one() -> None:
     parser = parse(RESPONSE, 1000)
     parser.start_response()
     assert not parser.complete and parser.bytes_received == 0
