--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""How responses end attempts, and when a connection may carry another request."""
+"""How responses end attempts, and when a connection may be reused."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 HUGE_LENGTH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"
-TCP_ESTABLISHED = 1  # first byte of TCP_INFO
+TCP_ESTABLISHED = 1  # as tcpi_state, the first byte of TCP_INFO
 
 
-class RecordingScript:
-    """A script that responds to each request and keeps the writer of its connection."""
+class RecordingResponder:
+    """Responds to each request with 200 and keeps the writer of its connection."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "result"),
+    ("responder", "result"),
     [
         (respond_ok, AttemptResult.SUCCESS),
         (respond_with(b"HTTP/1.1 100 Continue\r\n\r\n" + OK), AttemptResult.SUCCESS),
@@ -77,13 +77,13 @@
         (respond_with(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 8 + OK), AttemptResult.SUCCESS),
         (respond_with(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" * 9 + OK), AttemptResult.ERROR),
         (respond_with(b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), AttemptResult.ERROR),
-        # Endless heads and impossible lengths fail at once, not at the deadline.
+        # Heads, bodies and trailers above the size limits fail at once, not at the deadline.
         (respond_with(b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000), AttemptResult.ERROR),
         (respond_with(b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 4000), AttemptResult.ERROR),
         (respond_with(HUGE_LENGTH_HEAD), AttemptResult.ERROR),
         (respond_with(CHUNKED_HEAD + b"11000\r\n" + bytes(0x11000)), AttemptResult.ERROR),
         (respond_with(CHUNKED_HEAD + b"4\r\ndone\r\n0\r\nX: " + b"y" * 200_000), AttemptResult.ERROR),
-        # Ambiguous framing.
+        # Ambiguous framing and malformed heads.
         (
             respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone"),
             AttemptResult.ERROR,
@@ -100,14 +100,14 @@
         (reset_connection, AttemptResult.RESET),
     ],
 )
-def test_attempt_results(script: Responder, result: AttemptResult) -> None:
+def test_response_determines_the_attempt_result(responder: Responder, result: AttemptResult) -> None:
     async def test() -> None:
-        async with running_node(await UpstreamStub(script).start()) as harness:
+        async with running_node(await UpstreamStub(responder).start()) as harness:
             client = await harness.connect()
             status, head, _ = await client.exchange(make_request())
             assert (await harness.next_attempt_end()).result == result
             assert status == (200 if result is AttemptResult.SUCCESS else 503)
-            assert (header(head, b"Retry-After") is None) == (status == 200)  # every rejected client gets one
+            assert (header(head, b"Retry-After") is None) == (status == 200)  # in each 503, never in a 200
             assert not harness.node.requests.pending and not harness.node.pool.attempts
 
     run(test())
@@ -115,13 +115,13 @@
 
 @pytest.mark.parametrize("status", [400, 404, 499])
 def test_client_error_responses_are_final_and_do_not_count_against_the_upstream(status: int) -> None:
-    # A retry would let one client's invalid request eject every endpoint.
+    # If they were failures and retried, one client's invalid request could eject every endpoint.
     async def test() -> None:
-        script = respond_with(b"HTTP/1.1 %d No\r\nContent-Length: 3\r\n\r\nbad" % status)
-        upstreams = [await UpstreamStub(script).start() for _ in range(3)]
+        responder = respond_with(b"HTTP/1.1 %d No\r\nContent-Length: 3\r\n\r\nbad" % status)
+        upstreams = [await UpstreamStub(responder).start() for _ in range(3)]
         async with running_node(*upstreams, attempts=4) as harness:
-            returned, _, body = await (await harness.connect()).exchange(make_request())
-            assert (returned, body) == (status, b"bad")
+            response_status, _, body = await (await harness.connect()).exchange(make_request())
+            assert (response_status, body) == (status, b"bad")
             assert sum(upstream.requests.qsize() for upstream in upstreams) == 1
             assert (await harness.next_attempt_end()).result == AttemptResult.CANCELLED
             endpoints = harness.node.policy._registry
@@ -134,9 +134,8 @@
     async def test() -> None:
         upstream = await UpstreamStub(respond_with(HUGE_LENGTH_HEAD)).start()
         async with running_node(upstream) as harness:
-            assert (await (await harness.connect()).exchange(make_request("pay")))[
-                0
-            ] == 502  # it may have run
+            # 502 instead of 503, since the request may have run.
+            assert (await (await harness.connect()).exchange(make_request("pay")))[0] == 502
             await asyncio.wait_for(upstream.ended.get(), WAIT)
 
     run(test())
@@ -155,21 +154,22 @@
 
 
 @pytest.mark.parametrize(
-    "unread", [OK.replace(b"done", b"late"), b"\x00noise", b""], ids=["copy", "noise", "close"]
+    "unread", [OK.replace(b"done", b"late"), b"\x00noise", b""], ids=["duplicate", "noise", "close"]
 )
 def test_idle_connection_with_unread_data_is_not_reused(unread: bytes) -> None:
-    # The next attempt may take a connection in the loop iteration in which it was released.
-    script = RecordingScript()
+    # An attempt may take a connection in the loop iteration in which it was released, before the event loop
+    # reads what follows the response.
+    responder = RecordingResponder()
 
     async def test() -> None:
-        upstream = await UpstreamStub(script).start()
+        upstream = await UpstreamStub(responder).start()
         async with running_node(upstream) as harness:
-            first, second = await harness.connect(), await harness.connect()
-            await second.exchange(b"GET /_health HTTP/1.1\r\n\r\n")
-            assert (await first.exchange(make_request()))[0] == 200
+            client, other_client = await harness.connect(), await harness.connect()
+            await other_client.exchange(b"GET /_health HTTP/1.1\r\n\r\n")
+            assert (await client.exchange(make_request()))[0] == 200
             pool, (connection,) = harness.node.pool, harness.node.pool.connections
-            # Synchronously, so that the loop can't read it first.
-            sock = script.writers[0].get_extra_info("socket")
+            # No loop iteration until pool.send, so that the event loop can't read the data first.
+            sock = responder.writers[0].get_extra_info("socket")
             if unread:
                 os.write(sock.fileno(), unread)
             else:
@@ -186,24 +186,25 @@
 
 
 def test_unsolicited_data_closes_an_idle_connection(caplog: pytest.LogCaptureFixture) -> None:
-    script = RecordingScript()
+    responder = RecordingResponder()
 
     async def test() -> None:
-        upstream = await UpstreamStub(script).start()
+        upstream = await UpstreamStub(responder).start()
         async with running_node(upstream) as harness:
             client = await harness.connect()
             assert (await client.exchange(make_request()))[0] == 200
-            script.writers[0].write(OK.replace(b"done", b"late"))
+            responder.writers[0].write(OK.replace(b"done", b"late"))
             await asyncio.wait_for(upstream.ended.get(), WAIT)
-            assert not caplog.records  # closed on purpose, not by an exception
+            assert not caplog.records  # closed deliberately, not by an exception
             assert (await client.exchange(make_request()))[2] == b"done"
             assert upstream.connections == 2
 
     run(test())
 
 
-def test_cancelled_attempt_is_shut_down_on_the_socket_before_cancel_returns() -> None:
-    # The transport closes a loop iteration later: a retry written before that would be a second copy.
+def test_socket_of_a_cancelled_attempt_is_shut_down_before_cancel_returns() -> None:
+    # The transport closes the socket a loop iteration later: until then, a retry would put the request in
+    # flight twice.
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
         async with running_node(upstream) as harness:
@@ -222,6 +223,8 @@
 
 
 def test_closed_connection_leaves_no_reference_cycle() -> None:
+    # ResponseParser and the httptools parser refer to each other: if that is not undone, only the garbage
+    # collector frees their memory.
     async def test() -> None:
         upstream = await UpstreamStub(
             respond_with(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
@@ -253,6 +256,8 @@
 
 
 def test_failed_connect_leaves_no_reference_cycle() -> None:
+    # ResponseParser and the httptools parser refer to each other: if that is not undone, only the garbage
+    # collector frees their memory.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         upstream.server.close()
