--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -19,8 +19,8 @@
 from tests.proxy.stubs import OK, WAIT, UpstreamStub, make_request, never_respond
 
 
-def upstream_request() -> UpstreamRequest:
-    """Return a request as the node forwards it, its head still open for more headers."""
+def make_upstream_request() -> UpstreamRequest:
+    """Return a request as the node forwards it; the connection appends a header and ends the head."""
     return UpstreamRequest(make_request()[:-2], b"")
 
 
@@ -37,7 +37,7 @@
     run(test())
 
 
-def test_connection_idle_beyond_the_timeout_is_not_reused() -> None:
+def test_connection_idle_for_longer_than_the_timeout_is_not_reused() -> None:
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream, idle_timeout=0.0) as harness:
@@ -72,9 +72,9 @@
             client, pool = await harness.connect(), harness.node.pool
             client.writer.write(make_request())
             await asyncio.wait_for(upstream.requests.get(), WAIT)
-            for generation in range(2, 40):  # all at the same address
-                new = upstream.entry(f"s-{generation}")
-                harness.apply_delta(generation, [new, upstream.entry(f"s-{generation - 1}", "left")])
+            for generation in range(2, 40):  # each replaces the previous one at the same address
+                added = upstream.entry(f"s-{generation}")
+                harness.apply_delta(generation, [added, upstream.entry(f"s-{generation - 1}", "left")])
             assert set(pool.upstreams) == {stable_id(b"s-1")}
             assert harness.endpoint_ids() == {stable_id(b"s-39")}
             client.writer.close()
@@ -101,6 +101,7 @@
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
+            # The first label of the host name is too long, the second can't be encoded.
             target = UpstreamTarget(("a" * 70 + ".\udc80", 9), EndpointState.READY, 0.0)
             harness.node.find_target = lambda endpoint_id: target  # type: ignore[method-assign]
             status, _, _ = await (await harness.connect()).exchange(make_request())
@@ -109,7 +110,7 @@
     run(test())
 
 
-def test_silent_upstream_times_out_and_its_connection_is_closed() -> None:
+def test_attempt_without_response_times_out_and_its_connection_is_closed() -> None:
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
         async with running_node(upstream, aim=1000.0) as harness:
@@ -120,8 +121,9 @@
     run(test())
 
 
-def test_response_received_while_the_loop_stalled_past_the_deadline_counts() -> None:
-    # Timers run before sockets are read: after a stall, the response is in the socket when the timer fires.
+def test_response_that_arrives_during_a_stall_past_the_deadline_is_returned() -> None:
+    # The event loop runs timers before it reads sockets: after a stall, the timer of the deadline runs while
+    # the response is still unread.
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             upstream = UpstreamStub()
@@ -213,7 +215,7 @@
     run(test())
 
 
-def test_connections_stay_under_the_limit() -> None:
+def test_attempt_beyond_the_connection_limit_ends_as_connect_failed() -> None:
     async def test() -> None:
         upstreams = [await UpstreamStub(never_respond).start() for _ in range(3)]
         async with running_node(*upstreams) as harness:
@@ -231,10 +233,10 @@
         async with running_node(*upstreams) as harness:
             pool = harness.node.pool
             for number in (2, 1):
-                pool.send(number, 0, stable_id(b"s-%d" % number), 5000.0, upstream_request())
+                pool.send(number, 0, stable_id(b"s-%d" % number), 5000.0, make_upstream_request())
                 await harness.next_attempt_end()
             pool.max_connections = 2
-            pool.send(3, 0, stable_id(b"s-3"), 5000.0, upstream_request())
+            pool.send(3, 0, stable_id(b"s-3"), 5000.0, make_upstream_request())
             assert (await harness.next_attempt_end()).result == AttemptResult.SUCCESS
             await asyncio.wait_for(upstreams[1].ended.get(), WAIT)
             assert len(pool.upstreams[stable_id(b"s-1")].idle_connections) == 1
