--- a/tests/proxy/test_upstream_races.py
+++ b/tests/proxy/test_upstream_races.py
@@ -1,4 +1,4 @@
-"""Upstream connections and responses that cross a deadline or the next request."""
+"""Connects that complete after the deadline, and responses that arrive during the next request."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 from tests.proxy.stubs import OK, WAIT, UpstreamStub, make_request
 
 
-def test_connection_made_after_the_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_opened_after_the_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The attempt is aborted this long after its deadline; the connect completes in between.
     monkeypatch.setattr(upstream_pool, "LAST_READ_DELAY_S", 5.0)
 
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream, aim=200.0) as harness:
-            connects = hold_connects(harness)
+            held_loop = hold_connects(harness)
             client = await harness.connect()
             client.writer.write(make_request("pay"))
-            await asyncio.wait_for(connects.completed.wait(), WAIT)
+            await asyncio.wait_for(held_loop.completed.wait(), WAIT)
             (attempt,) = harness.node.pool.attempts.values()
             await wait_until(lambda: attempt.deadline_passed)
-            connects.release.set()
+            held_loop.release.set()
             assert (await harness.next_attempt_end()).result == AttemptResult.CONNECT_FAILED
             assert (await client.receive())[0] == 503
             assert upstream.requests.empty()
@@ -34,10 +35,10 @@
     run(test())
 
 
-def test_duplicate_response_is_not_taken_for_the_next_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The clock stands still, so the first connection stays within its reuse delay.
-    frozen_now = now_ms()
-    monkeypatch.setattr(upstream_pool, "now_ms", lambda: frozen_now)
+def test_duplicate_response_is_not_taken_for_the_next_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The clock is stopped, so the first connection stays within its reuse delay.
+    stopped_now = now_ms()
+    monkeypatch.setattr(upstream_pool, "now_ms", lambda: stopped_now)
     writers: list[asyncio.StreamWriter] = []
 
     async def duplicate_first_response(
