--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -89,7 +89,7 @@
         self._commands: list[Command] = []
         self._requests: dict[int, PendingRequest] = {}  # by id, until their final response
         self.unserved_counts: Counter[str] = Counter()
-        """Count of requests that the policy ended itself, by reason; whoever reports it clears it."""
+        """Number of requests ended for each ``UnservedReason``; whoever reports the counts clears them."""
         self._create_components(random.Random(seed))
         self._update_interval = UPDATE_INTERVAL * time_scale(settings)
         self._updated_at = 0.0  # ms; 0 before the first update
@@ -141,7 +141,7 @@
         """
         self._now = now
         commands = self._commands = []
-        handler = _HANDLERS.get(type(event))  # None: this policy ignores the event
+        handler = _HANDLERS.get(type(event))  # None if this policy ignores the event
         if handler is not None:
             handler(self, event)
         while (request := self._sequencer.next_ready()) is not None:
@@ -243,7 +243,7 @@
         self._forget_request(event.request_id)
 
     def _forget_request(self, request_id: int) -> None:
-        """Drop a request that needs no response any more, and cancel its attempts in flight if allowed."""
+        """Drop a request that no longer needs a response, and cancel its attempts in flight if allowed."""
         request = self._requests.pop(request_id, None)
         if request is None:
             return
@@ -263,7 +263,7 @@
     # Periodic work, driven by arriving requests.
 
     def _update_estimates(self) -> None:
-        """Update the time-based estimates, and age older state where it is due."""
+        """Update the time-based estimates, and age older state if that is due."""
         elapsed = self._update_interval
         if self._updated_at:
             elapsed = min(self._now - self._updated_at, MAX_UPDATE_ELAPSED)
--- a/load_balancer/policy/events.py
+++ b/load_balancer/policy/events.py
@@ -35,13 +35,13 @@
     RESET = 6
     """The connection broke after the request was sent."""
     CANCELLED = 7
-    """This node cancelled the attempt."""
+    """This node cancelled the attempt, or the endpoint found the request invalid (a 4xx other than 429)."""
     NOT_SENT = 8
     """This node ended the attempt before sending anything."""
 
 
 NEVER_RAN = frozenset({AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT})
-"""Results that prove that the request has not run; not REJECTED if ``Settings.rejected_may_have_run``."""
+"""Results that prove that the request has not run, except REJECTED if ``Settings.rejected_may_have_run``."""
 
 MAY_STILL_RUN = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED})
 """Results after which the endpoint may still be executing the request."""
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
-    """The client has disconnected; the request needs no response any more."""
+    """The request no longer needs a response: its client has disconnected, or the caller has responded."""
 
     request_id: int
 
--- a/load_balancer/policy/pending_request.py
+++ b/load_balancer/policy/pending_request.py
@@ -13,7 +13,7 @@
     """An attempt whose request the endpoint may have executed."""
 
     sent_at: float
-    """Time in ms on the policy's clock."""
+    """Time at which the attempt was sent, ms on the policy's clock."""
     endpoint: Endpoint
 
 
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request, its place in a key's queue, and its attempts."""
+    """A request that has no final response yet, or still has attempts in flight."""
 
     arrival: RequestArrived
     arrived_at: float
--- a/load_balancer/policy/result_recorder.py
+++ b/load_balancer/policy/result_recorder.py
@@ -17,8 +17,8 @@
 from load_balancer.policy.settings import RequestClass
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 
-LOCAL_RESULTS = frozenset({AttemptResult.CANCELLED, AttemptResult.NOT_SENT})
-"""Results that this node caused itself; nothing is learned from them."""
+IGNORED_RESULTS = frozenset({AttemptResult.CANCELLED, AttemptResult.NOT_SENT})
+"""Results caused by this node or an invalid request, not by the endpoint; nothing is learned from them."""
 
 
 class ResultRecorder:
@@ -53,7 +53,7 @@
             now: Current time in ms on the policy's clock.
         """
         result, class_index = event.result, request.arrival.class_index
-        if result in LOCAL_RESULTS:
+        if result in IGNORED_RESULTS:
             return
         succeeded = result is AttemptResult.SUCCESS
         self._retries.record_connection(result is AttemptResult.CONNECT_FAILED)
--- a/load_balancer/policy/settings.py
+++ b/load_balancer/policy/settings.py
@@ -17,7 +17,7 @@
     IDEMPOTENT = "idempotent"
     """Repeated executions have the effect of one."""
     KEYED = "keyed"
-    """Requests carry an idempotency key by which the endpoints of one scope drop repeats for a while."""
+    """Requests carry an idempotency key, by which the endpoints of a scope drop repeats for some time."""
     NOT_IDEMPOTENT = "not idempotent"
     """Must not be executed more than once."""
 
@@ -32,7 +32,7 @@
 
 def _check(valid: bool, name: str, value: object) -> None:
     if not valid:
-        raise ValueError(f"settings: {name} has the invalid value {value!r}")
+        raise ValueError(f"the value of {name} is invalid: {value!r}")
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,7 +48,7 @@
     deadline: float
     """Maximum time in ms that clients of this class wait for a response."""
     priority_weight: float
-    """Relative value of a response in time per unit of work, compared with the other classes."""
+    """Value of a timely response per unit of work, relative to the other classes."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: float = 0.0
@@ -91,11 +91,14 @@
     endpoints_cache_keys: bool = False
     """Whether endpoints need less work for a key that they served recently."""
     endpoints_are_polled: bool = False
-    """Whether the policy schedules the retries of failed discovery calls; otherwise the caller does."""
+    """Whether the endpoint list is polled, not pushed.
+
+    If so, the policy schedules the retries of failed discovery calls; otherwise the caller does.
+    """
     poll_interval_limit: float = 10000.0
     """Time in ms within which a failed discovery call must be retried; the backoff is a fraction of it."""
     stale_endpoints_limit: float = math.inf
-    """Time in ms after the last message from discovery in which no unseen drain can take effect."""
+    """Time in ms after the last contact with discovery until a drain that the node missed can take effect."""
     tick: float = 1.0
     """Maximum time in ms between two readings of the caller's clock."""
     can_cancel: bool = False
--- a/load_balancer/settings_decoder.py
+++ b/load_balancer/settings_decoder.py
@@ -24,7 +24,7 @@
 
 
 class SettingsError(ValueError):
-    """An invalid settings object. The message says what is wrong."""
+    """An invalid settings object."""
 
 
 def decode_settings(text: bytes) -> Settings:
@@ -40,7 +40,7 @@
     try:
         return _decode_object(raw)
     except KeyError as error:
-        raise SettingsError(f"settings: {error} is missing or has an unknown value") from None
+        raise SettingsError(f"settings: {error} is a missing field or an unknown value") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise SettingsError(f"settings: {error}") from None
 
