--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -27,7 +27,7 @@
     the group index, and requests over it have the class index plus the number of classes.
 
     Args:
-        settings: Request classes, over-quota weight and maximum Retry-After.
+        settings: Node settings, of which the classes, over-quota weight and maximum Retry-After are used.
         rng: Source of random numbers.
     """
 
@@ -80,7 +80,7 @@
             value_below += band_value
 
     def update_threshold(self, overload: float) -> bool:
-        """Set the threshold for an overload of 0 to 1; return whether ``shedding_logged`` has changed."""
+        """Set the threshold for an overload of 0 to 1, and return whether ``shedding_logged`` has changed."""
         self.threshold = MAX_SCORE * overload**THRESHOLD_EXPONENT
         log_threshold = SHEDDING_LOG_OFF if self.shedding_logged else SHEDDING_LOG_ON
         changed = self.shedding_logged != (self.threshold > log_threshold)
--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -1,9 +1,9 @@
-"""Required concurrency: the attempts in flight that a busy fleet needs from this node.
+"""Required concurrency: the attempts in flight that this node needs to keep its share of the fleet busy.
 
-By Little's law it is the peak goodput times the lowest mean latency, with some headroom; it is at least the
-nominal concurrency and the sustained concurrency: attempts in flight that were sustained while almost all
-responses were in time. Goodput is the rate of useful responses: successful ones that are in time, or that are
-late in a request class that gives weight to late responses.
+By Little's law it is the peak goodput times the lowest mean latency, with some headroom. It is at least the
+nominal concurrency (see ``fleet_capacity``) and the sustained concurrency, which is the recent peak of the
+attempts in flight while almost all responses were in time. Goodput is the rate of useful responses:
+successful ones that are in time, or that are late in a request class that gives weight to late responses.
 """
 
 from __future__ import annotations
@@ -13,16 +13,20 @@
 
 GOODPUT_WINDOW = 2000.0  # ms over which the goodput is averaged
 PEAK_WINDOW = 20000.0  # ms over which the peak goodput decays
-MIN_LATENCY_WINDOW = 60.0  # responses over which the mean latency is averaged, unless GOODPUT_WINDOW has more
+# Responses over which the mean latency and the share of late responses are averaged; for the latency, those
+# of GOODPUT_WINDOW if they are more.
+MIN_LATENCY_WINDOW = 60.0
 MIN_SAMPLES = MIN_LATENCY_WINDOW / 5  # responses below which the mean latency counts as unknown
-LOWEST_LATENCY_GROWTH_TIME = 100000.0  # ms in which the lowest latency grows e-fold to follow heavier work
+# Time constant in ms of the growth of the lowest mean latency, which lets it follow requests that become more
+# expensive.
+LOWEST_LATENCY_GROWTH_TIME = 100000.0
 LOW_LATENCY_RATIO = 1.3  # mean latency / lowest mean latency below which responses are fast
 CONGESTED_RATIO = 2.0  # mean latency / lowest mean latency above which most attempts in flight are queued
 MAX_LATE_RATIO = 0.03  # share of late responses below which the attempts in flight count as sustained
 MAX_SUSTAINED_RATIO = 1.5  # maximum of the sustained concurrency, as a multiple of the nominal concurrency
-MAX_HEADROOM = 1.5  # multiple of the learned concurrency that is required while almost nothing fails
+MAX_HEADROOM = 1.5  # headroom factor on peak goodput * lowest mean latency while nothing fails
 MAX_GROWTH_FAILURE_RATIO = 0.05  # failure ratio below which a higher send rate counts as growing traffic
-NO_HEADROOM_FAILURE_RATIO = 0.1  # failure ratio from which there is no headroom
+NO_HEADROOM_FAILURE_RATIO = 0.1  # failure ratio from which the headroom factor is 1
 
 
 class ConcurrencyEstimator:
@@ -37,20 +41,21 @@
         self._goodput_window = GOODPUT_WINDOW * time_scale
         self._peak_window = PEAK_WINDOW * time_scale
         self.required = 1.0
-        """Attempts in flight that a busy fleet needs from this node. Read-only outside this class."""
+        """Attempts in flight that keep this node's share of the fleet busy. Read-only outside this class."""
         self.mean_latency = 0.0
         """Mean latency of recent useful responses in ms. Read-only outside this class."""
         self.lowest_mean_latency = 0.0
-        """Lowest mean latency in ms; 0 while unknown. Read-only outside this class."""
+        """Lowest mean latency in ms; grows slowly, and is 0 while unknown. Read-only outside this class."""
         self.peak_goodput_per_endpoint = 0.0
         """Peak goodput of this node: useful responses per ms and per effective endpoint of the fleet."""
         self._useful_responses = 0  # since the last update
-        self._observed_time = 0.0  # ms that the goodput is averaged over, at most the window
+        self._observed_time = 0.0  # ms over which the goodput is averaged, at most the window
         self._goodput = 0.0  # useful responses per ms
         self._peak_goodput = 0.0  # decaying peak of the goodput, or of the send rate of growing traffic
-        self._latency_samples = 0.0  # responses that the mean latency is averaged over
+        self._latency_samples = 0.0  # responses over which the mean latency is averaged
         self._late_ratio = 1.0  # moving share of late responses and timeouts
-        self._sustained_concurrency = 0.0  # decaying peak of attempts in flight, while in time
+        # Decaying peak of the attempts in flight while almost all responses are in time.
+        self._sustained_concurrency = 0.0
 
     @property
     def congested(self) -> bool:
@@ -91,8 +96,8 @@
             self._follow_growth(send_rate, failures.value)
         self._update_sustained_concurrency(elapsed, in_flight, capacity.nominal_concurrency)
         headroom = 1.0 + (MAX_HEADROOM - 1.0) * max(0.0, 1.0 - failures.value / NO_HEADROOM_FAILURE_RATIO)
-        learned = headroom * self._peak_goodput * self.lowest_mean_latency
-        self.required = max(capacity.nominal_concurrency, learned, self._sustained_concurrency)
+        measured = headroom * self._peak_goodput * self.lowest_mean_latency
+        self.required = max(capacity.nominal_concurrency, measured, self._sustained_concurrency)
         if self._latency_samples < MIN_SAMPLES:
             self.required = max(self.required, 1.0)
 
@@ -124,7 +129,7 @@
             self._peak_goodput = max(self._peak_goodput, send_rate)
 
     def _update_sustained_concurrency(self, elapsed: float, in_flight: float, nominal: float) -> None:
-        # Traffic that is served in time is no overload, even where this node has more than its share of it.
+        # Traffic that is served in time is no overload, even if this node has more than its share of it.
         in_time = self._late_ratio < MAX_LATE_RATIO
         self._sustained_concurrency *= 1 - elapsed / (self._peak_window if in_time else self._goodput_window)
         if in_time:
--- a/load_balancer/policy/failure_ratio.py
+++ b/load_balancer/policy/failure_ratio.py
@@ -26,7 +26,7 @@
         """Failure ratio with a weight of 1 for each failure, 0 to 1. Read-only outside this class."""
 
     def record(self, failed: bool, weight: float) -> None:
-        """Count an attempt; if it failed, ``weight`` (0 to 1) is how far that is a sign of overload."""
+        """Count an attempt and, if it failed, its ``weight`` as a sign of overload, 0 to 1."""
         self._attempts += 1.0 - self._attempts / WINDOW_ATTEMPTS
         self._failures += weight * failed - self._failures / WINDOW_ATTEMPTS
         self.unweighted_ratio += (failed - self.unweighted_ratio) / WINDOW_ATTEMPTS
@@ -35,8 +35,8 @@
     def record_shed_request(self) -> None:
         """Decay the counts for a request shed by this node; ``value`` follows at the next update.
 
-        Without this decay, a threshold that sheds almost all requests would never fall: successes and
-        failures decay at the same rate, so that their ratio would stay.
+        Both counts shrink by the same share, so PRIOR_SUCCESSES weighs more and ``value`` falls. The shedding
+        threshold can thus fall even while almost all requests are shed and few attempts are sent.
         """
         self._failures -= self._failures / WINDOW_SHED_REQUESTS
         self._attempts -= self._attempts / WINDOW_SHED_REQUESTS
--- a/load_balancer/policy/fleet_capacity.py
+++ b/load_balancer/policy/fleet_capacity.py
@@ -17,9 +17,9 @@
     """Capacity of the fleet as of the last refresh.
 
     Args:
-        settings: Number of nodes.
+        settings: Node settings, of which the number of nodes is used.
         table: Endpoint table.
-        latency: Latency factors of the machine types.
+        latency: Latency estimator, of which the factors of the machine types are used.
     """
 
     def __init__(self, settings: Settings, table: EndpointTable, latency: LatencyEstimator) -> None:
@@ -28,7 +28,7 @@
         self._latency = latency
         self._max_effective_weight = 1.0  # largest weight / latency factor
         self.effective_endpoint_count = 1.0
-        """Number of ready endpoints, at least 1; in slow start, one counts by its share of capacity."""
+        """Number of ready endpoints, at least 1; one in slow start counts as its share of full capacity."""
         self.nominal_concurrency = 1.0
         """Requests that the fleet serves at once, divided by the number of nodes."""
         self.mean_relative_capacity = 1.0
--- a/load_balancer/policy/overload.py
+++ b/load_balancer/policy/overload.py
@@ -12,12 +12,12 @@
 HIGH_FAILURE_RATIO = 0.4  # failure ratio at which overload is 1
 LOW_UTILIZATION = 1.0  # attempts in flight / required concurrency at which overload begins
 HIGH_UTILIZATION = 1.5  # attempts in flight / required concurrency at which overload is 1
-AVERAGING_TIME = 4000.0  # ms; divided by the required concurrency, the window of the moving averages
+AVERAGING_TIME = 4000.0  # ms; the window of the moving averages is this divided by the required concurrency
 MIN_AVERAGING_UPDATES = 4  # minimum of that window, in update intervals
 MAX_AVERAGING_UPDATES = 100  # maximum of that window, in update intervals
 REJECTION_FAILURE_FACTOR = 2  # minimum weight of a rejection, as a multiple of the unweighted failure ratio
-# Weight of an error or reset after the typical latency; earlier ones weigh less, as they put less load on an
-# endpoint.
+# Weight of an error or reset that comes after the typical latency. Others weigh in proportion to the time
+# since the attempt was sent, up to 1, as earlier ones put less load on an endpoint.
 ERROR_WEIGHT = 0.5
 
 
@@ -59,14 +59,14 @@
             typical_latency: Typical latency of the request class in ms.
 
         Returns:
-            Weight of the result as a sign of overload if it is a failure, 0 to 1.
+            Weight of a failure as a sign of overload, 0 to 1; it has no meaning for a success.
         """
         weight = self._failure_weight(result, elapsed, typical_latency)
         self.failures.record(result is not AttemptResult.SUCCESS, weight)
         return weight
 
     def _failure_weight(self, result: AttemptResult, elapsed: float, typical_latency: float) -> float:
-        """Return how far a failure is a sign of overload; one that put no load on an endpoint is none."""
+        """Return a failure's weight as a sign of overload, 0 to 1; 0 if it put no load on an endpoint."""
         if result is AttemptResult.CONNECT_FAILED:
             return 0.0
         if result in (AttemptResult.ERROR, AttemptResult.RESET):
@@ -83,7 +83,7 @@
 
         Args:
             elapsed: Time in ms since the last update.
-            lost_attempts: Attempts in flight that put no load on any endpoint.
+            lost_attempts: Number of attempts in flight that put no load on any endpoint.
             capacity: Capacity of the fleet.
         """
         self._update_averages(elapsed, lost_attempts)
--- a/load_balancer/policy/quotas.py
+++ b/load_balancer/policy/quotas.py
@@ -22,7 +22,7 @@
     Each node applies 1 / ``node_count`` of each quota to its own traffic.
 
     Args:
-        quotas: Requests per second over all nodes, by tenant; empty: no quotas.
+        quotas: Requests per second over all nodes, by tenant; empty if there are no quotas.
         node_count: Number of nodes that share the quotas.
     """
 
