--- a/load_balancer/policy/affinity.py
+++ b/load_balancer/policy/affinity.py
@@ -15,7 +15,8 @@
 from load_balancer.policy.working_set import WorkingSet
 
 POINTS_PER_ENDPOINT = 16  # ring points (virtual nodes) for relative capacity 1, besides one for each endpoint
-REPLICAS_PER_SHARE = 2.0  # replicas added to a key for each average endpoint's share of traffic that it gets
+# A key that gets a share s of the requests with a key has 1 + int(this * s * subset size) replicas.
+REPLICAS_PER_SHARE = 2.0
 POINT_STRIDE = 1000003  # keeps the hash inputs of different endpoints' points distinct
 REPLICA_STRIDE = 0x632BE59BD9B4E019  # keeps the hash inputs of a key's replicas distinct
 MIN_COUNT = 0.5  # decayed requests of a key at or below which it is forgotten
@@ -60,7 +61,7 @@
     def candidates(self, key: int) -> Iterator[int]:
         """Yield the ids of the endpoints of two of a key's replicas, the first of them chosen at random.
 
-        The more traffic a key has, the more replicas it has. Both ids can be the same.
+        The more traffic a key has, the more replicas it has. The two ids can be the same.
         """
         share = self._counts.get(key, 0.0) / self._total_count
         replicas = 1 + int(share * self._working_set.subset.size * REPLICAS_PER_SHARE)
--- a/load_balancer/policy/endpoint_registry.py
+++ b/load_balancer/policy/endpoint_registry.py
@@ -12,7 +12,7 @@
 from load_balancer.policy.slow_start_budget import initial_budget
 from load_balancer.policy.tracked_endpoint import AttemptInFlight, ClassHealth, TrackedEndpoint
 
-# Tracked endpoints outside the subset, above which those without attempts in flight are dropped.
+# Limit on the tracked endpoints outside the subset; above it, those without attempts in flight are dropped.
 MAX_TRACKED_OUTSIDE_SUBSET = 4000
 
 
@@ -94,7 +94,7 @@
         """Remove an attempt that has ended from those in flight.
 
         Returns:
-            The attempt; None: its end was reported before.
+            The attempt, or None if its end was reported before.
         """
         attempt = tracked.attempts.pop((event.request_id, event.attempt), None)
         if attempt is None:
@@ -118,7 +118,7 @@
         return sum(tracked.lost_attempts(now) for tracked in self._busy.values())
 
     def trim(self, subset: Collection[int]) -> None:
-        """Stop tracking unused endpoints outside the subset, if more than the limit are tracked."""
+        """Stop tracking endpoints outside the subset without attempts in flight, if too many are tracked."""
         if len(self._tracked) <= len(subset) + MAX_TRACKED_OUTSIDE_SUBSET:
             return
         subset_ids = set(subset)
--- a/load_balancer/policy/endpoint_table.py
+++ b/load_balancer/policy/endpoint_table.py
@@ -1,6 +1,7 @@
 """The endpoint list, and aggregates over its ready endpoints.
 
-Aggregates are updated incrementally, so that the cost of a change does not grow with the fleet.
+Aggregates are updated incrementally, so that the cost of a change does not grow with the fleet. The effective
+weight of an endpoint is its weight divided by the latency factor of its machine type (see ``latency``).
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(slots=True)
 class _StartBin:
-    """Number and start times of the endpoints that started within the same START_BIN_WIDTH ms."""
+    """Number and sum of the start times of the endpoints that started within the same START_BIN_WIDTH ms."""
 
     count: int = 0
     sum_of_starts: float = 0.0  # ms
@@ -51,7 +52,7 @@
         return Endpoint(stored_id, zone, machine_type, cell, EndpointState(state), weight, started_at)
 
     def put(self, entry: Endpoint) -> Endpoint | None:
-        """Insert or replace an entry, or remove it if its state is REMOVED; returns the old entry, if any."""
+        """Insert or replace an entry, or remove it if its state is REMOVED; return the old entry, if any."""
         old = self.get(entry.id)
         if old is not None and old.state is EndpointState.READY:
             self._update_aggregates(old, -1)
@@ -101,7 +102,7 @@
         start_bin = self._start_bins.get(bin_number)
         if start_bin is None:
             start_bin = _StartBin()
-        if sign > 0 or start_bin.count:  # the bin of an endpoint that has warmed up may be dropped already
+        if sign > 0 or start_bin.count:  # the bin of an endpoint that has warmed up may have been dropped
             start_bin.count += sign
             start_bin.sum_of_starts += sign * started_at
             self._start_bins[bin_number] = start_bin
@@ -109,8 +110,8 @@
     def effective_endpoint_count(self, now: float) -> float:
         """Return the effective number of ready endpoints at ``now`` ms, at least 1.
 
-        An endpoint in slow start counts as its present share of full capacity. Drops the bins of endpoints
-        that have warmed up.
+        An endpoint in slow start counts as its present share of full capacity. The bins of endpoints that
+        have warmed up are dropped.
         """
         duration, initial = self._slow_start_duration, self._slow_start_initial
         missing_capacity = 0.0
@@ -119,31 +120,31 @@
                 del self._start_bins[bin_number]
                 continue
             mean_start = start_bin.sum_of_starts / start_bin.count
-            warm_share = max(0.0, now - mean_start) / duration if duration else 1.0
-            missing_capacity += start_bin.count * (1.0 - initial) * max(0.0, 1.0 - warm_share)
+            elapsed_share = max(0.0, now - mean_start) / duration if duration else 1.0
+            missing_capacity += start_bin.count * (1.0 - initial) * max(0.0, 1.0 - elapsed_share)
         return max(self.ready_count - missing_capacity, 1.0)
 
-    def max_effective_weight(self, factors: Mapping[int, float]) -> float:
-        """Return the largest effective weight of the ready endpoints; 0: there are none.
-
-        The effective weight is the weight divided by the latency factor of the machine type.
+    def max_effective_weight(self, latency_factors: Mapping[int, float]) -> float:
+        """Return the largest effective weight of the ready endpoints, or 0 if there are none.
 
         Args:
-            factors: Latency factors by machine type; 1 where there is none.
+            latency_factors: Latency factors by machine type; 1 for those without an entry.
         """
         weights = self._largest_weight.items()
-        return max((weight / factors.get(machine_type, 1.0) for machine_type, weight in weights), default=0.0)
+        return max(
+            (weight / latency_factors.get(machine_type, 1.0) for machine_type, weight in weights), default=0.0
+        )
 
     def mean_weight(self) -> float:
-        """Return the mean weight of the ready endpoints; 0: there are none."""
+        """Return the mean weight of the ready endpoints, or 0 if there are none."""
         return sum(self._weight_sums.values()) / max(1, self.ready_count)
 
-    def mean_effective_weight(self, factors: Mapping[int, float]) -> float:
-        """Return the mean effective weight of the ready endpoints; 0: there are none.
+    def mean_effective_weight(self, latency_factors: Mapping[int, float]) -> float:
+        """Return the mean effective weight of the ready endpoints, or 0 if there are none.
 
         Args:
-            factors: Latency factors by machine type; 1 where there is none.
+            latency_factors: Latency factors by machine type; 1 for those without an entry.
         """
         sums = self._weight_sums.items()
-        total = sum(weight / factors.get(machine_type, 1.0) for machine_type, weight in sums)
+        total = sum(weight / latency_factors.get(machine_type, 1.0) for machine_type, weight in sums)
         return total / max(1, self.ready_count)
--- a/load_balancer/policy/packed_table.py
+++ b/load_balancer/policy/packed_table.py
@@ -2,7 +2,7 @@
 
 A Python object with its fields takes hundreds of bytes; a row takes its packed size and 8 bytes for the key.
 Rows are stored in buckets by the top bits of their keys, so that an insertion moves only the rows of one
-bucket. Keys must be evenly distributed, as hashes are, for buckets of similar size.
+bucket. Keys must be evenly distributed, as hashes are, so that buckets have similar sizes.
 """
 
 from __future__ import annotations
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -19,10 +19,12 @@
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from load_balancer.policy.working_set import WorkingSet
 
-COMPARED_ENDPOINTS = 2  # eligible endpoints compared by load if none is idle; later ones must be idle
+# If no examined endpoint is idle, the less loaded of this many is used: the first ones that are eligible.
+COMPARED_ENDPOINTS = 2
 SAMPLE_SIZE = 6  # endpoints sampled in search of an idle one
-# Load below which an endpoint counts as idle; it is 1 for one of typical latency without attempts. At mean
-# relative capacity the limit allows no attempt in flight, and 2.3 times an even share of the recent attempts.
+# Load below which an endpoint counts as idle. An endpoint of typical latency without attempts or failures has
+# a load of 1. At mean relative capacity, the limit allows it no attempt in flight, and up to 2.3 times an
+# even share of the recent attempts.
 IDLE_LOAD = 2.15
 RECENT_WEIGHT = 0.5  # weight in the load of the endpoint's recent attempts, in multiples of an even share
 IN_FLIGHT_WEIGHT = 4  # weight in the load of an attempt in flight
@@ -63,7 +65,7 @@
 
     @staticmethod
     def record_latency(tracked: TrackedEndpoint, relative_latency: float) -> None:
-        """Update an endpoint's mean relative latency with a latency, as a multiple of the typical one."""
+        """Add a latency, given as a multiple of the typical one, to an endpoint's mean relative latency."""
         tracked.mean_relative_latency += LATENCY_GAIN * (relative_latency - tracked.mean_relative_latency)
 
     def halve_counts(self) -> None:
@@ -74,7 +76,7 @@
             tracked.mean_relative_latency = (1 + tracked.mean_relative_latency) / 2
 
     def pick(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
-        """Return the endpoint for the next attempt of a request at ``now`` ms; None: none is eligible."""
+        """Return the endpoint for a request's next attempt at ``now`` ms, or None if none is eligible."""
         return self._idle_in_own_zone(request, now) or self._idle_or_less_loaded(request, now)
 
     def _idle_in_own_zone(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
@@ -90,7 +92,8 @@
         return None
 
     def _idle_or_less_loaded(self, request: PendingRequest, now: float) -> TrackedEndpoint | None:
-        # With a subset, a node sends enough to each endpoint to recognize an idle one, and searches longer.
+        # If the subset is not the whole fleet, this node sends each endpoint enough attempts to recognize an
+        # idle one, so it examines more endpoints in search of one.
         is_subset = self._working_set.subset.size != self._working_set.ready_count
         max_eligible = SAMPLE_SIZE if is_subset else COMPARED_ENDPOINTS
         chosen, chosen_load, eligible_count = None, 0.0, 0
@@ -111,9 +114,10 @@
     def _load(
         self, tracked: TrackedEndpoint, request: PendingRequest, now: float, recent_weight: float
     ) -> float:
-        """Return the load that this node's attempts put on an endpoint.
+        """Return an endpoint's load, from this node's attempts, its mean relative latency and its failures.
 
-        An endpoint of typical latency without attempts has a load of 1.
+        An endpoint of typical latency without attempts or failures has a load of 1. ``recent_weight`` is the
+        weight of its recent attempts, which are counted in multiples of an even share.
         """
         recent = recent_weight * (
             tracked.recent_attempts * self._working_set.subset.size / self._recent_attempts
@@ -141,15 +145,15 @@
     def _sample(self, now: float) -> list[int]:
         """Sample ids of the subset, with replacement.
 
-        Endpoints in this node's zone come first, whether or not crossing zones has a cost; only a cost makes
-        ``_idle_in_own_zone`` search them for an idle one beforehand. Within each group, endpoints of
-        more capacity are more likely to come first.
+        Endpoints in this node's zone come first, even if crossing zones has no cost. (If it has one,
+        ``_idle_in_own_zone`` has searched that zone for an idle one before.) Inside and outside the zone,
+        endpoints with more capacity are more likely to come first.
         """
         ids, size = self._working_set.subset.ids, self._working_set.subset.size
         sampled = [ids[int(self._random.random() * size)] for _ in range(SAMPLE_SIZE) if ids]
         sort_keys: dict[int, tuple[bool, bool]] = {}
         for endpoint_id in sampled:
             endpoint = self._registry.get_or_track(endpoint_id, now).endpoint
-            weaker = self._random.random() > self._capacity.relative_capacity(endpoint)
-            sort_keys[endpoint_id] = (endpoint.zone != self._zone, weaker)
+            deferred = self._random.random() > self._capacity.relative_capacity(endpoint)
+            sort_keys[endpoint_id] = (endpoint.zone != self._zone, deferred)
         return sorted(sampled, key=sort_keys.__getitem__)
--- a/load_balancer/policy/subsetting.py
+++ b/load_balancer/policy/subsetting.py
@@ -49,7 +49,7 @@
 
     Args:
         table: All endpoints.
-        settings: The node's index and the number of nodes.
+        settings: Node settings, of which the node's index and the number of nodes are used.
         sparse: Whether a node has so few attempts in flight per endpoint that groups of nodes share subsets.
     """
     if table.ready_count > MAX_RANKED_ENDPOINTS:
@@ -87,7 +87,7 @@
 def round_down_arc_count(limit: int) -> int:
     """Return the largest permitted arc count up to ``limit``.
 
-    Permitted counts are the integer parts of a geometric series.
+    Permitted counts are the integer parts of the powers of 2 ** (1 / ARC_COUNTS_PER_DOUBLING).
     """
     exponent = (limit.bit_length() - 1) * ARC_COUNTS_PER_DOUBLING
     while 2 ** ((exponent + 1) / ARC_COUNTS_PER_DOUBLING) <= limit:
--- a/load_balancer/policy/tracked_endpoint.py
+++ b/load_balancer/policy/tracked_endpoint.py
@@ -34,7 +34,8 @@
     ejected_until: float = 0.0
     """Time in ms until which the endpoint is ejected.
 
-    Afterwards it gets one attempt at a time until one succeeds. 0: neither applies.
+    Afterwards it gets one attempt at a time until one succeeds. 0 if it is neither ejected nor limited
+    in this way.
     """
     recent_ejections: int = 0
     """Number of ejections; halved by each success."""
@@ -53,14 +54,14 @@
     attempts: dict[AttemptKey, AttemptInFlight] = field(default_factory=dict)
     """Attempts without a result; written by endpoint_registry."""
     last_answered_sent_at: float = 0.0
-    """Time in ms at which the latest attempt was sent that got a success or an error as its response.
+    """Latest send time in ms of the attempts that got a success or an error as their response.
 
     Written by endpoint_registry.
     """
     last_rejected_sent_at: float = 0.0
-    """Time in ms at which the latest attempt was sent that was rejected; written by endpoint_registry."""
+    """Latest send time in ms of the attempts that were rejected; written by endpoint_registry."""
     unanswered_ratio: float = 0.0
-    """Moving average over all classes of attempts without a response, 0 to 1; written by outliers."""
+    """Moving share of attempts without a response, over all classes, 0 to 1; written by outliers."""
     recent_attempts: float = 0.0
     """Decayed count of this node's attempts; written by selection."""
     mean_relative_latency: float = 1.0
@@ -91,7 +92,7 @@
         return attempt.sent_at < self.last_answered_sent_at
 
     def is_stalled(self, now: float) -> bool:
-        """Return whether the endpoint hangs or pauses: one attempt is overdue, no later one was answered."""
+        """Return whether the endpoint hangs or pauses: an attempt is overdue, with no later one answered."""
         if not self.attempts:
             return False  # fast path: runs for every request
         answered = self.last_answered_sent_at
--- a/load_balancer/policy/working_set.py
+++ b/load_balancer/policy/working_set.py
@@ -6,7 +6,7 @@
 from load_balancer.policy.settings import Settings
 from load_balancer.policy.subsetting import Subset, choose_subset
 
-# Attempts in flight of this node for each ready endpoint, below which groups of nodes share subsets.
+# Attempts in flight of this node per ready endpoint below which groups of nodes share subsets.
 SPARSE_CONCURRENCY = 0.2
 
 
@@ -16,12 +16,12 @@
     def __init__(self, settings: Settings, registry: EndpointRegistry) -> None:
         self._settings = settings
         self._registry = registry
-        # Where endpoints cache keys, key affinity takes precedence over the zone.
+        # If endpoints cache keys, key affinity takes precedence over the zone.
         self._prefers_own_zone = settings.cross_zone_cost > 0 and not settings.endpoints_cache_keys
         self.subset = Subset([], 0, 1)
         """The ready endpoints that this node uses, all of them tracked; written only by this class."""
         self.own_zone_ids: list[int] = []
-        """Ids of the subset's endpoints in this node's zone; empty where they are not preferred."""
+        """Ids of the subset's endpoints in this node's zone; empty if they are not preferred."""
 
     @property
     def ready_count(self) -> int:
