--- a/load_balancer/policy/key_sequencing.py
+++ b/load_balancer/policy/key_sequencing.py
@@ -13,7 +13,7 @@
     """Holds a queue for each key in use.
 
     Args:
-        cooldown: Pause of a key in ms after an attempt that may still be running.
+        cooldown: Time in ms for which a key is blocked after an attempt that may still be running.
     """
 
     def __init__(self, cooldown: float) -> None:
@@ -57,7 +57,7 @@
         Each change of a queue is reported once.
 
         Returns:
-            The request; None: no changed queue has such a request.
+            The request, or None if no changed queue has such a request.
         """
         while self._changed_queues:
             queue = self._changed_queues.pop()
@@ -84,7 +84,7 @@
         """
         queue = request.key_queue
         if queue is None or request.attempts_sent:
-            return None  # a retry continues the turn of its request
+            return None  # a retry does not wait: its request is already the one running for the key
         if requests_ahead or queue.attempts_in_flight:
             return latest_start_at
         return min(latest_start_at, queue.cooldown_until) if queue.cooldown_until > now else None
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -22,7 +22,7 @@
 SUCCESS_DECAY = 0.7  # factor by which a success reduces the failure ratio
 BASE_EJECTION_TIME = 2000.0  # ms; doubles with each recent ejection
 MAX_DOUBLINGS = 4
-EJECTION_JITTER = 0.25  # random share, plus or minus: endpoints ejected together don't return together
+EJECTION_JITTER = 0.25  # random share, plus or minus; keeps those ejected together from returning together
 MAX_EJECTED_SHARE = 0.34  # share of the subset; if more fail, the cause is not in the endpoints
 
 
@@ -47,10 +47,10 @@
     """Tracks failures by endpoint and request class, and ejects outliers.
 
     Args:
-        settings: Whether a rejected request may have run; if so, a rejection counts as an error.
+        settings: Node settings; if ``rejected_may_have_run``, a rejection counts as an error.
         rng: Source of random numbers.
         registry: Tracked endpoints, whose health the detector writes.
-        working_set: Subset, of which only a share may be ejected.
+        working_set: Working set, of whose subset only a share may be ejected.
         failures: Failure ratio of all endpoints together.
     """
 
@@ -81,7 +81,10 @@
 
     @staticmethod
     def record_success(tracked: TrackedEndpoint, class_index: int) -> None:
-        """Record a success; it ends all ejections but those of other classes for their own failures."""
+        """Record a success, and end the ejection for its class.
+
+        Ejections for other classes end too, unless the failure ratio of the class is above BASE_RATIO_LIMIT.
+        """
         health = tracked.class_health[class_index]
         health.failure_ratio *= SUCCESS_DECAY
         health.recent_ejections //= 2
@@ -99,11 +102,12 @@
             tracked: The endpoint.
             class_index: Class of the request that failed.
             result: How the attempt failed.
-            weight: Weight of the failure if it is a reset, 0 to 1.
+            weight: Weight of a reset, 0 to 1; not used for other failures.
             now: Time on the policy's clock, ms.
         """
         gain = self._gain_of(result)
-        # An early reset weighs less, as it may concern only the connection: a dead process refuses the next.
+        # An early reset weighs less, as only the connection may have failed. If the process has died, it
+        # refuses the next connection, which weighs in full.
         scale = weight if result is AttemptResult.RESET else 1.0
         same_class, other_classes = gain.same_class * scale, gain.other_classes * scale
         if gain is NO_RESPONSE_GAIN:
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -1,7 +1,7 @@
 """Attempts of a request: how many, how long, where a retry is safe, and whether the client may retry.
 
 A failed attempt is retried if all of these hold: a random draw allows it, which is less likely under overload
-or with failed connections (``should_retry``); attempts are left (``has_attempts_left``); time is left
+or while connections fail (``should_retry``); attempts are left (``has_attempts_left``); time is left
 (``latest_start``); an endpoint is eligible that was not tried before and at which the request class allows a
 repeat (``may_send_to``).
 """
@@ -26,7 +26,7 @@
     """Decides how often, when and where a request is attempted.
 
     Args:
-        settings: Request classes, and limits on attempts.
+        settings: Node settings, chiefly the request classes and the limits on attempts.
         rng: Source of random numbers.
     """
 
@@ -36,7 +36,7 @@
         self._never_ran = NEVER_RAN
         if settings.rejected_may_have_run:
             self._never_ran = NEVER_RAN - {AttemptResult.REJECTED}
-        self._connect_failures = 0.0  # moving average of attempts without a connection, 0 to 1
+        self._connect_failures = 0.0  # moving share of attempts without a connection, 0 to 1
 
     def useful_until(self, request: PendingRequest) -> float:
         """Return the time on the policy's clock, ms, after which a response has no value."""
@@ -100,13 +100,13 @@
         return early_timeout if early_timeout + typical_latency < remaining else remaining
 
     def record_connection(self, failed: bool) -> None:
-        """Update the share of failed connections with an attempt."""
+        """Record whether an attempt failed to get a connection."""
         self._connect_failures += CONNECT_FAILURE_GAIN * (failed - self._connect_failures)
 
     def should_retry(self, overload: float) -> bool:
         """Return whether to retry a failed attempt, drawn at random.
 
-        A retry is the less likely, the higher the overload or the share of failed connections is.
+        The higher the overload or the share of failed connections, the less likely is a retry.
 
         Args:
             overload: Overload of the fleet, 0 to 1.
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -1,7 +1,8 @@
 """Slow start: limits the attempts of all nodes together at an endpoint that has just started.
 
-Each node earns attempts at such an endpoint, at its share of the response rate of a warm endpoint multiplied
-by the endpoint's present capacity. An unused attempt expires: otherwise many nodes could save attempts up and
+Each node has a budget for such an endpoint, similar to a token bucket. It earns attempts at the node's share
+of the response rate of a warm endpoint (one with its full capacity), multiplied by the share of its capacity
+that the endpoint has at the time. An unused attempt expires: otherwise many nodes could save attempts up and
 send them all at once.
 """
 
@@ -20,7 +21,7 @@
 # Share of the capacity to use: requests cost more on an endpoint whose cache is still cold.
 CAPACITY_SHARE_USED = 0.8
 OVERLOAD_FACTOR_SHARE_USED = 0.5  # share of the overload factor that all nodes together may use
-MIN_EXPECTED_ATTEMPTS = 1e-9  # avoids division by zero where no attempts are earned
+MIN_EXPECTED_ATTEMPTS = 1e-9  # avoids division by zero if no attempts are earned
 MIN_BUDGET_LIFETIME = 0.25  # shortest lifetime of an earned attempt, as a share of the overload window
 
 
@@ -40,7 +41,7 @@
         self._working_set = working_set
 
     def capacity_share(self, endpoint: Endpoint, now: float) -> float:
-        """Return the share of its full capacity that an endpoint has at least at ``now`` ms, 0 to 1."""
+        """Return a lower bound of an endpoint's share of its full capacity at ``now`` ms, 0 to 1."""
         if not endpoint.started_at:
             return 1.0
         settings = self._settings
@@ -53,18 +54,18 @@
     def may_send(self, tracked: TrackedEndpoint, now: float) -> bool:
         """Return whether an endpoint is warm, or its budget has an earned attempt left at ``now`` ms.
 
-        Adds what was earned up to ``now``. If the attempt is used, ``attempt_sent`` must be called with the
-        same ``now``.
+        What was earned up to ``now`` is added to the budget. If the attempt is used, ``attempt_sent`` must be
+        called with the same ``now``.
         """
         capacity = self.capacity_share(tracked.endpoint, now)
         return capacity >= 1.0 or self._accrue_and_check(tracked.slow_start, capacity, now)
 
     def attempt_sent(self, tracked: TrackedEndpoint, now: float) -> None:
-        """Take an attempt from the budget of an endpoint, if that is in slow start."""
+        """Take an attempt from the budget of an endpoint, if it is in slow start."""
         if self.capacity_share(tracked.endpoint, now) < 1.0:
             budget = tracked.slow_start
             # Also drops the fraction earned of the next one.
-            budget.earned_attempts = budget.used_attempts = int(budget.earned_attempts)
+            budget.earned_attempts = budget.earned_at_last_send = int(budget.earned_attempts)
 
     def _accrue_and_check(self, budget: SlowStartBudget, capacity: float, now: float) -> bool:
         rate = self._earning_rate(capacity)
@@ -73,7 +74,7 @@
         whole_attempts = int(budget.earned_attempts)
         # The fraction beyond the whole attempts shows how long ago the last of them was earned.
         return (
-            whole_attempts > budget.used_attempts
+            whole_attempts > budget.earned_at_last_send
             and budget.earned_attempts - whole_attempts <= rate * self._lifetime(rate)
         )
 
@@ -89,15 +90,16 @@
     def _lifetime(self, rate: float) -> float:
         """Return the time in ms for which an earned attempt can be used.
 
-        It limits the unused attempts of all nodes to what may come on top of the ``expected`` attempts that
-        they earn in an overload window. The limit uses only a share of the overload factor, since the nodes'
-        peak rates add up to more than the fleet ever served at once, and half of the random variation that an
-        endpoint is assumed to withstand (two standard deviations and 2 attempts).
+        The lifetime is such that the unused attempts of all nodes, sent on top of the ``expected`` attempts
+        that they earn in an overload window, stay within a limit; but it is at least MIN_BUDGET_LIFETIME
+        overload windows. The limit uses only OVERLOAD_FACTOR_SHARE_USED of the overload factor, since the
+        nodes' peak rates add up to more than the fleet ever served at once. It also uses half of the random
+        variation that an endpoint is assumed to withstand (two standard deviations and 2 attempts).
         """
         settings, working_set = self._settings, self._working_set
         window = settings.slow_start_overload_window
         expected = rate * settings.node_count * working_set.subset.size / working_set.ready_count * window
-        bound = expected * settings.slow_start_overload_factor * OVERLOAD_FACTOR_SHARE_USED
+        base_limit = expected * settings.slow_start_overload_factor * OVERLOAD_FACTOR_SHARE_USED
         # The square root is the standard deviation of the number of attempts, if they are independent.
-        allowance = max(bound - expected, 0.0) + math.sqrt(bound) + 1
+        allowance = max(base_limit - expected, 0.0) + math.sqrt(base_limit) + 1
         return window * max(MIN_BUDGET_LIFETIME, allowance / max(expected, MIN_EXPECTED_ATTEMPTS))
--- a/load_balancer/policy/slow_start_budget.py
+++ b/load_balancer/policy/slow_start_budget.py
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class SlowStartBudget:
-    """Attempts earned and used by a node at one endpoint; written only by ``slow_start``."""
+    """Attempts that a node has earned at one endpoint; written only by ``slow_start``."""
 
     earned_attempts: float
     """Attempts earned so far, including a fraction of the next one."""
     updated_at: float
     """Time in ms up to which earned attempts have been added."""
-    used_attempts: int = 0
-    """Whole attempts earned when the latest one was sent; only those earned since can be used."""
+    earned_at_last_send: int = 0
+    """Whole attempts that had been earned when the latest one was sent; only later ones can still be used."""
 
 
 def initial_budget(endpoint_id: int, node_index: int, now: float) -> SlowStartBudget:
--- a/load_balancer/policy/staleness.py
+++ b/load_balancer/policy/staleness.py
@@ -20,7 +20,8 @@
 INITIAL_BACKOFF_DIVISOR = 40
 RESET_BACKOFF_DIVISOR = 20
 MAX_BACKOFF_DIVISOR = 4
-# Share of the backoff that is always waited; the rest is random, so that nodes don't poll at the same time.
+# Smallest share of the backoff that is used as the delay. The rest is random, so that nodes don't poll at the
+# same time.
 MIN_BACKOFF_SHARE = 0.2
 
 
@@ -28,7 +29,7 @@
     """Tracks how old the endpoint list is, and limits the use of a stale one.
 
     Args:
-        settings: How long a stale list may be used, and whether and how often to poll discovery.
+        settings: Node settings, of which those on polling, staleness and connecting are used.
         rng: Source of random numbers.
     """
 
@@ -39,39 +40,40 @@
         self._stale_limit = settings.stale_endpoints_limit
         self._connect_timeout = settings.connect_timeout
         self._backoff = self._poll_interval_limit / INITIAL_BACKOFF_DIVISOR
-        self._stale_since = math.inf  # last contact with discovery, ms; inf: the list is up to date
+        self._stale_since = math.inf  # ms, last contact with discovery; infinite while the list is up to date
 
     def update(self, kind: UpdateKind, last_contact_at: float | None, now: float) -> float | None:
         """Record an endpoint update.
 
         Args:
             kind: Kind of the update.
-            last_contact_at: Time in ms of the last contact with discovery, if unreachable; None: ``now``.
+            last_contact_at: Time in ms of the last contact with discovery, if that is lost; None for ``now``.
             now: Time on the policy's clock, ms.
 
         Returns:
-            Delay in ms after which to poll discovery again; None: polling is not needed.
+            Delay in ms after which to poll discovery again, or None if the policy need not schedule a poll.
         """
         retry_in = None
         if kind in (UpdateKind.CACHED_SNAPSHOT, UpdateKind.UNAVAILABLE):
             if self._polled:
-                retry_in = self._next_backoff()
+                retry_in = self._next_delay()
             self._stale_since = min(self._stale_since, now if last_contact_at is None else last_contact_at)
         else:
             self._stale_since = math.inf
             self._backoff = self._poll_interval_limit / RESET_BACKOFF_DIVISOR
         return retry_in
 
-    def _next_backoff(self) -> float:
-        backoff = self._backoff * (MIN_BACKOFF_SHARE + (1 - MIN_BACKOFF_SHARE) * self._random.random())
+    def _next_delay(self) -> float:
+        delay = self._backoff * (MIN_BACKOFF_SHARE + (1 - MIN_BACKOFF_SHARE) * self._random.random())
         self._backoff = min(2 * self._backoff, self._poll_interval_limit / MAX_BACKOFF_DIVISOR)
-        return backoff
+        return delay
 
     def may_use(self, tracked: TrackedEndpoint, now: float) -> bool:
-        """Return whether an endpoint can be sent an attempt at ``now`` ms without violating a missed drain.
+        """Return whether the age of the endpoint list allows an attempt at an endpoint at ``now`` ms.
 
-        A drain takes effect ``stale_endpoints_limit`` ms after discovery lists it. An attempt that the
-        endpoint has served since shows that it was not draining, as a draining endpoint rejects requests.
+        Discovery may have listed a drain of the endpoint that this node has not seen. It takes effect no
+        earlier than ``stale_endpoints_limit`` ms after it was listed. An attempt that the endpoint has served
+        since the last contact shows that it was not draining then, as a draining endpoint rejects requests.
         """
         if self._stale_since == math.inf or now > self._stale_since + USE_ALL_AFTER:
             return True
