--- a/load_balancer/proxy/endpoint_decoder.py
+++ b/load_balancer/proxy/endpoint_decoder.py
@@ -2,7 +2,7 @@
 
 A snapshot of 95,000 endpoints is 14 MB of JSON. To save memory it is held neither as text nor as Python
 objects: each entry is validated and packed as soon as it has arrived. The packed rows are separate from those
-of the current endpoint list, which an update with an invalid entry leaves unchanged.
+of the current endpoint list, so an update with an invalid entry leaves that list unchanged.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
     version: int
     is_snapshot: bool
     rows: EndpointRowTable
-    """Entries by endpoint id; where a delta names an endpoint twice, the last entry."""
+    """Entries by endpoint id; if a delta lists an endpoint more than once, only the last entry."""
     first_entries: list[str]
     """Name and state of the first ``LOGGED_ENTRIES`` entries, for the log."""
 
@@ -86,7 +86,7 @@
         self._fields: dict[str, Any] = {}  # top-level fields of the update, without the entries
         self._rows = EndpointRowTable()
         self._first_entries: list[str] = []
-        self._duplicate_name: str | None = None  # the first endpoint that is listed twice
+        self._duplicate_name: str | None = None  # of the first endpoint that is listed twice
         self._entry_count: int | None = None  # None until the array of entries begins
 
     @property
@@ -211,7 +211,7 @@
 
 
 def _invalid_number(entry: dict[str, Any]) -> InvalidFieldError:
-    """Return an error that names the first numeric field of an entry whose value is not a number."""
+    """Return an error that names the entry's first numeric field with a value that is not a number."""
     converters: tuple[tuple[str, Callable[[Any], object]], ...] = (("cell", int), ("weight", float))
     for field, convert in converters:
         try:
@@ -253,15 +253,15 @@
             raise EndpointListSyntaxError(str(error), self._builder.position) from None
 
     def finish(self) -> DiscoveryUpdate:
-        """Return the update; all of its text must have been fed.
+        """Return the update; all of its JSON text must have been fed.
 
         Raises:
             EndpointListError: The list is invalid or incomplete.
         """
         if self._parser is None:
-            raise EndpointListSyntaxError("the text is empty")
+            raise EndpointListSyntaxError("the JSON is empty")
         try:
             self._parser.close()
         except (ijson.JSONError, ValueError):
-            raise EndpointListSyntaxError("the text is incomplete", self._builder.position) from None
+            raise EndpointListSyntaxError("the JSON is incomplete", self._builder.position) from None
         return self._builder.build()
--- a/load_balancer/proxy/endpoint_directory.py
+++ b/load_balancer/proxy/endpoint_directory.py
@@ -45,7 +45,7 @@
     def changes(self, rows: EndpointRowTable, ready: bool) -> Iterator[tuple[int, EndpointRow] | None]:
         """Compare the rows of an update with the current list.
 
-        Yields the id and row of each endpoint that is new or differs, and None for every other row.
+        Yield the id and row of each endpoint that is new or differs, and None for every other row.
 
         Args:
             rows: Rows of the update.
@@ -75,20 +75,20 @@
     def zone_number(self, name: str) -> int:
         """Return the number of a zone: its index in the settings, or a negative hash of its name.
 
-        The hash keeps zones distinct that are missing from the settings.
+        The hash distinguishes zones that are missing from the settings.
         """
         number = self._config.zones.get(name)
         return -(stable_id(name.encode()) >> 1) - 1 if number is None else number
 
     def new_builder(self) -> UpdateBuilder:
-        """Return a builder for one update that uses this directory's address table and zone numbers."""
+        """Return a builder that uses this directory's address table and zone numbers, for one update."""
         config = self._config
         return UpdateBuilder(
             _endpoint_id, self.zone_number, config.machine_types, self._addresses, config.max_endpoints
         )
 
     def new_decoder(self) -> UpdateDecoder:
-        """Return a decoder for one update that uses this directory's address table and zone numbers."""
+        """Return a decoder that uses this directory's address table and zone numbers, for one update."""
         return UpdateDecoder(self.new_builder())
 
 
--- a/load_balancer/proxy/endpoint_rows.py
+++ b/load_balancer/proxy/endpoint_rows.py
@@ -22,7 +22,7 @@
     """Value of an ``EndpointState``."""
     weight: float
     started_at: float
-    """Unix time of the last start in ms; 0: long ago."""
+    """Unix time of the last start in ms, or 0 if that was long ago."""
     address: int
     """Address of the endpoint, encoded by ``AddressTable``."""
 
@@ -58,7 +58,7 @@
     def changes(self, current: EndpointRowTable, ready: bool) -> Iterator[tuple[int, EndpointRow] | None]:
         """Compare the rows of this table, those of an update, with the current list.
 
-        Yields the id and row of each endpoint that is new or differs, and None for every other row. Only rows
+        Yield the id and row of each endpoint that is new or differs, and None for every other row. Only rows
         that are yielded become an ``EndpointRow``, because most rows of a snapshot are unchanged.
 
         Args:
--- a/load_balancer/proxy/endpoint_updater.py
+++ b/load_balancer/proxy/endpoint_updater.py
@@ -31,7 +31,7 @@
 
     Args:
         directory: The current endpoint list.
-        pool: Connections to the endpoints; it closes idle ones of an endpoint that changes.
+        pool: Connections to the endpoints; the pool closes the idle ones of an endpoint that changes.
         submit: Passes an event to the policy.
     """
 
@@ -94,7 +94,7 @@
     def _changes(self, update: DiscoveryUpdate) -> Iterator[Endpoint | None]:
         """Apply an update to the directory and the pool, and yield the changed endpoints.
 
-        Yields None after every ``ROWS_PER_SLICE`` compared rows. Endpoints that may no longer be used come
+        Yield None after every ``ROWS_PER_SLICE`` compared rows. Endpoints that may no longer be used come
         first, so that none is sent a request while the rest of the update is applied.
         """
         row_counter = itertools.count(1)
--- a/load_balancer/proxy/errors.py
+++ b/load_balancer/proxy/errors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-_MAX_QUOTED_LENGTH = 60  # characters of input or of a parser's message in an error message
+_MAX_QUOTED_LENGTH = 60  # characters of input, or of a parser's message, in an error message
 
 
 class ProxyError(Exception):
@@ -20,7 +20,7 @@
     """A configuration that is unreadable or invalid. The message is a single line."""
 
     def __init__(self, reason: object, path: str = "") -> None:
-        """Store the reason, prefixed with the path of the configuration file if there is one."""
+        """Build the message from the reason, prefixed with the path of the configuration file if given."""
         super().__init__(f"{path}: {reason}" if path else str(reason))
 
 
@@ -72,7 +72,7 @@
     """Input that is not valid JSON, is truncated, or does not have the structure of an endpoint list."""
 
     def __init__(self, reason: str, position: str = "") -> None:
-        """Store the reason, and its position in the list if that is known."""
+        """Build the message from the error's position in the list, if known, and the shortened reason."""
         reason = " ".join(reason.split())[:_MAX_QUOTED_LENGTH]
         super().__init__(f"{position}: {reason}" if position else reason)
 
@@ -85,7 +85,7 @@
     """An entry of the list that is invalid."""
 
     def __init__(self, entry_number: int, name: object, reason: object) -> None:
-        """Store the number of the entry, counted from 1, the name of its endpoint, and the reason."""
+        """Build the message from the entry's number, counted from 1, its endpoint's name and the reason."""
         super().__init__(f"entry {entry_number}, {name}: {reason}")
         self.entry_number = entry_number
 
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize(
     ("text", "error", "message"),
     [
-        (SNAPSHOT[:-60], EndpointListSyntaxError, "after 19 entries: the text is incomplete"),
+        (SNAPSHOT[:-60], EndpointListSyntaxError, "after 19 entries: the JSON is incomplete"),
         (
             SNAPSHOT.replace(b'"cell":0', b'"cell":"x"', 9),
             EndpointEntryError,
@@ -97,7 +97,7 @@
             "entry 1, s-00000000: ",
         ),
         (SNAPSHOT.replace(b"10.0.0.1:9000", b"10.0.0.1\\u0000:9000", 1), EndpointEntryError, "entry 2, s-"),
-        (b" ", EndpointListSyntaxError, "the text is empty"),
+        (b" ", EndpointListSyntaxError, "the JSON is empty"),
     ],
     ids=range(15),
 )
