--- a/load_balancer/proxy/__main__.py
+++ b/load_balancer/proxy/__main__.py
@@ -38,14 +38,14 @@
     node = Node(config, loop)
     loop.add_signal_handler(signal.SIGHUP, node.reload, os.environ)
     gc.collect()
-    gc.freeze()  # startup objects live as long as the process: later collections skip them
+    gc.freeze()  # startup objects live as long as the process, so later collections need not scan them
     node.start()
     await shutdown_requested.wait()
     await node.shut_down()
 
 
 def main() -> int:
-    """Run the node; returns the exit status of the process."""
+    """Run the node and return the exit status of the process."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until a node can reload its configuration
     configure_logging()
     try:
--- a/load_balancer/proxy/backoff.py
+++ b/load_balancer/proxy/backoff.py
@@ -12,7 +12,7 @@
         initial: First delay in s, before jitter.
         maximum: Longest delay in s, before jitter.
         jitter: Lower and upper bound of the random factor.
-        rng: Random number generator of the factor.
+        rng: Random number generator for the factor.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         """Return the delay in s before the next retry.
 
         Args:
-            maximum: Limit in s, before jitter, for the delay after this one; None: the usual maximum.
+            maximum: Limit in s, before jitter, for the delay after this one; None for the usual maximum.
         """
         delay = self._delay * self._rng.uniform(*self._jitter)
         self._delay = min(2 * self._delay, self.maximum if maximum is None else maximum)
--- a/load_balancer/proxy/config.py
+++ b/load_balancer/proxy/config.py
@@ -19,8 +19,8 @@
 from load_balancer.proxy.errors import ConfigError, InvalidAddressError
 from load_balancer.settings_decoder import decode_settings
 
-# The node counts as notified of a change this long after discovery has the change and is reachable, even if
-# the node has not received it.
+# By the protocol, a node is considered notified of a change this long after discovery has the change and is
+# reachable, whether or not the node has received it.
 NOTIFIED_AFTER_S = 6.0
 LOOP_DELAY_ALLOWANCE_MS = 100.0  # margin for callbacks that the event loop runs late
 MAX_BYTES_PER_ENDPOINT = 200  # of memory; half of it is in use only while a snapshot is decoded
@@ -55,7 +55,7 @@
     zones: dict[str, int]
     """Indices of the zones in the settings, by name."""
     drain_grace: float
-    """Time within which attempts at an endpoint must stop after the notification that it drains."""
+    """Time from the notification that an endpoint drains until attempts at it must have stopped."""
     connect_timeout: float
     """Time limit for establishing a connection to an endpoint."""
     idle_timeout: float
@@ -143,8 +143,8 @@
 def _limit_stale_endpoints(settings: Settings, drain_grace: float) -> Settings:
     """Limit how long a polled endpoint list may be used after the last contact with discovery.
 
-    There is no limit with a discovery that pushes: the node does not count as notified of any change while
-    discovery is unavailable, and of all changes at once when it is available again.
+    There is no limit if discovery pushes updates: the node is not considered notified of any change while
+    discovery is unavailable, and considered notified of all changes at once when it is available again.
     """
     if not settings.endpoints_are_polled:
         return settings
--- a/load_balancer/proxy/discovery_client.py
+++ b/load_balancer/proxy/discovery_client.py
@@ -1,4 +1,4 @@
-"""Client of the discovery service: fetches a snapshot, then follows changes on a watch that it reopens."""
+"""Client of the discovery service: fetches a snapshot, then follows changes on a watch and reopens it."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 MEMBERS_PATH = "/catalog/members"
 
-# The node must learn of a change within NOTIFIED_AFTER_S, whichever timeout ends the call before it. So a
-# timeout + the longest delay of the backoff + QUEUE_TIMEOUT_S for the next call must not exceed that limit.
+# The node must learn of a change within NOTIFIED_AFTER_S even if a timeout ends the current call. So each
+# timeout below + the longest backoff delay + QUEUE_TIMEOUT_S for the next call must not exceed that limit.
 QUEUE_TIMEOUT_S = 2.0  # discovery handles one call at a time, and fails those that wait longer than this
 WATCH_IDLE_TIMEOUT_S = 3.2  # without a complete line; discovery sends at least one every 2 s
 CONNECT_TIMEOUT_S = 1.5
@@ -32,12 +32,14 @@
 BACKOFF_INITIAL_S = 0.05
 BACKOFF_MAX_S = 0.5
 BACKOFF_MAX_REJECTED_S = 3.0  # after repeated rejections: the same invalid update is likely to be sent again
-BACKOFF_JITTER = (0.5, 1.5)  # range of a factor; nodes that lost discovery together must not call together
-# When a discovery that pushes becomes available again, the node counts as notified of all changes at once.
-# The longest delay, 1.5 x this share of the drain grace, leaves more than half of the grace for the call.
+# Range of the random factor of a delay: nodes that lost discovery together must not call together.
+BACKOFF_JITTER = (0.5, 1.5)
+# When a discovery service that pushes updates becomes available again, the node is considered notified of all
+# changes at once. The longest delay, 1.5 x this share of the drain grace, leaves more than half of the grace
+# for the call.
 BACKOFF_MAX_GRACE_SHARE = 0.25
-# Consecutive snapshots below the newest version that show that discovery has restarted its version numbers.
-# Fewer may come from a replica of discovery that lags behind.
+# Number of consecutive snapshots below the newest version that shows that discovery has restarted its version
+# numbers. Fewer may come from a replica of discovery that lags behind.
 MAX_STALE_SNAPSHOTS = 3
 
 logger = logging.getLogger(__name__)
@@ -73,7 +75,7 @@
         max_backoff: float = BACKOFF_MAX_S,
     ) -> None:
         self.address = address
-        self.version: int | None = None  # of the current list; None: a snapshot is needed
+        self.version: int | None = None  # of the current list; None if a snapshot is needed
         self.last_contact_at = now_ms()
         self.is_failing = False
         self._new_decoder = new_decoder
@@ -100,14 +102,14 @@
         self.version = self._newest_version = version
 
     def change_address(self, address: Address) -> None:
-        """Abort the current call and fetch a snapshot from another discovery, which has its own versions."""
+        """Abort the current call and fetch a snapshot from another service, which has its own versions."""
         if address == self.address:
             return  # repeated reloads must not restart the call
         self.close()
         self.address = address
         self.version = self._newest_version = None
         self._stale_snapshots = 0
-        # The node counts as notified sooner after a reload, so the list becomes stale sooner by as much.
+        # After a reload the node is considered notified sooner, so the list becomes stale that much sooner.
         self.last_contact_at = min(
             self.last_contact_at, now_ms() - (NOTIFIED_AFTER_S - NOTIFIED_AFTER_RELOAD_S) * 1000
         )
--- a/load_balancer/proxy/discovery_response.py
+++ b/load_balancer/proxy/discovery_response.py
@@ -23,13 +23,13 @@
     """Time limits of a request to discovery, in s."""
 
     connect: float
-    """To establish the connection."""
+    """Limit for establishing the connection."""
     first_byte: float
-    """From the request to the first bytes of the response."""
+    """Limit from the request to the first bytes of the response."""
     read: float
-    """For each read after the first."""
+    """Limit for each read after the first."""
     message: float
-    """For a whole message (a snapshot or a line of a watch), plus its transfer time at MIN_TRANSFER_RATE."""
+    """Limit for a message (a snapshot or a line of a watch), plus its transfer time at MIN_TRANSFER_RATE."""
 
 
 class DiscoveryResponse:
@@ -73,7 +73,8 @@
         return body
 
     def _message_time_left(self) -> float:
-        # Body bytes extend the limit by their transfer time at MIN_TRANSFER_RATE, so a trickle barely does.
+        # Body bytes extend the limit by their transfer time at MIN_TRANSFER_RATE, so a slow sender gains
+        # little.
         transfer_time = (self._received_bytes - self._message_offset) / MIN_TRANSFER_RATE
         return self._message_started_at + self._timeouts.message + transfer_time - self._clock()
 
--- a/load_balancer/proxy/graceful_shutdown.py
+++ b/load_balancer/proxy/graceful_shutdown.py
@@ -10,8 +10,8 @@
 from load_balancer.proxy.request_tracker import RequestTracker
 
 ACCEPT_PERIOD_S = 0.6  # after SIGTERM: new connections arrive until the front end's health check fails
-# By the protocol, the time from SIGTERM to SIGKILL is at least SIGKILL_DELAY_MS plus the longest deadline, of
-# which at most SIGKILL_MAX_DEADLINE_MS count.
+# By the protocol, SIGKILL follows SIGTERM after at least SIGKILL_DELAY_MS plus the longest deadline or
+# SIGKILL_MAX_DEADLINE_MS, whichever is shorter.
 SIGKILL_DELAY_MS = 700.0
 SIGKILL_MAX_DEADLINE_MS = 3000.0
 SIGKILL_MARGIN_MS = 100.0  # responses are due this long before the earliest SIGKILL
@@ -23,7 +23,9 @@
 async def drain_client_connections(
     listener: Listener, requests: RequestTracker, longest_deadline: float
 ) -> None:
-    """Accept connections for ``ACCEPT_PERIOD_S``; return when all are closed or the time is up.
+    """Accept connections for ``ACCEPT_PERIOD_S``, then wait until all connections are closed.
+
+    The wait ends no later than ``longest_deadline`` + ``SIGKILL_DELAY_MS`` after the call.
 
     Args:
         listener: Listener that holds the client connections.
--- a/load_balancer/proxy/idle_timeout.py
+++ b/load_balancer/proxy/idle_timeout.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-# Subtracted from the configured timeout, so that no request is sent just as the upstream closes.
+# Subtracted from the configured timeout, so that no request is sent while the upstream closes the connection.
 CLOSE_RACE_MARGIN_MS = 2000.0
 MIN_OBSERVED_IDLE_MS = 100.0  # resets after a shorter idle time have other causes
 RESETS_BEFORE_LOWERING = 2  # consecutive; a single reset may be chance
@@ -24,7 +24,7 @@
     __slots__ = ("_consecutive_resets", "current_ms", "max_ms")
 
     def __init__(self, configured_ms: float) -> None:
-        """Start below the upstreams' configured idle timeout, in ms: by the margin, but at most by half."""
+        """Start ``CLOSE_RACE_MARGIN_MS`` below the configured idle timeout, but not below half of it."""
         self.max_ms = self.current_ms = max(configured_ms - CLOSE_RACE_MARGIN_MS, configured_ms / 2)
         self._consecutive_resets = 0
 
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -54,7 +54,7 @@
 MIN_CONNECTIONS = 30  # to clients and upstreams together
 # Less than half: a request in flight needs one connection on each side, but clients also hold idle ones.
 UPSTREAM_CONNECTION_SHARE = 3 / 8
-# From the kill of the previous process to the start of this one; the cached endpoint list may be this old.
+# Time from the previous process's kill to this one's start; the cached endpoint list may be this old.
 RESTART_DURATION_MS = 3000.0
 
 ATTEMPT_COUNTER_NAMES = {result: f"attempts {result.name.lower()}" for result in AttemptResult}
@@ -216,7 +216,7 @@
     def _cancel_request(self, request_id: int, pending: TrackedRequest) -> None:
         self.policy_runner.submit(RequestCancelled(request_id))
         # The policy cancels attempts where the settings allow it. An attempt that has no connection yet must
-        # not be sent in any case. Only the newest can lack one; -1, if there was none, matches no attempt.
+        # not be sent in any case. Only the newest can lack one; -1 (no attempt so far) matches none.
         self.pool.cancel_unsent(request_id, pending.attempts - 1)
 
     def _drop_client(self, request_id: int, client: ClientConnection) -> None:
@@ -286,7 +286,10 @@
         self.healthy = True
 
     def _discovery_status_changed(self, last_contact_at: float | None) -> None:
-        """Tell the policy that discovery is unavailable since its last contact, or available if None."""
+        """Tell the policy that discovery has become unavailable, or is available again.
+
+        ``last_contact_at`` is the time in ms of the last contact, or None if discovery is available.
+        """
         kind = UpdateKind.DELTA if last_contact_at is None else UpdateKind.UNAVAILABLE
         version = self.discovery.version or 0
         self.policy_runner.submit(EndpointUpdate(kind, version, [], last_contact_at))
--- a/load_balancer/proxy/request_tracker.py
+++ b/load_balancer/proxy/request_tracker.py
@@ -11,8 +11,9 @@
 from load_balancer.proxy.client_request import ClientRequest
 from load_balancer.proxy.messages import UpstreamRequest, UpstreamResponse
 
-# The final response is due this long before the client gives up, to leave time for its transmission and for
-# delays of the event loop, but at most this share of the timeout: 30 ms of 40 ms would leave too little.
+# The final response is due RESPONSE_MARGIN_MS before the client gives up, to leave time for its transmission
+# and for delays of the event loop. The margin is at most RESPONSE_MARGIN_SHARE of the timeout: 30 ms of 40 ms
+# would leave too little.
 RESPONSE_MARGIN_MS = 30.0
 RESPONSE_MARGIN_SHARE = 0.1
 
@@ -61,7 +62,7 @@
         )
 
     def remove(self, request_id: int) -> TrackedRequest | None:
-        """Remove a request without responding to it; returns it, or None if it was not pending."""
+        """Remove a request without responding to it, and return it, or None if it was not pending."""
         return self.pending.pop(request_id, None)
 
     def respond(self, request_id: int, status: int, headers: bytes = b"") -> None:
