--- a/load_balancer/proxy/client_connection.py
+++ b/load_balancer/proxy/client_connection.py
@@ -32,7 +32,7 @@
         """Set ``connection.request_id`` and serve the request.
 
         The handler must call ``connection.write_response`` once, during this call or later, unless the client
-        disconnects before.
+        disconnects first.
         """
 
     def on_client_disconnected(self, request_id: int) -> None:
@@ -82,7 +82,7 @@
         self._input_closed = False  # further input is discarded
         self._request_incomplete = False  # a part of a request has been received
         self._has_received_request = False  # complete ones only
-        self._request_started_at = 0.0  # s on the loop's clock; for the first request, time of the connect
+        self._request_started_at = 0.0  # s on the loop's clock; for the first request, time of connection
 
     # Connection events.
 
--- a/load_balancer/proxy/connection_table.py
+++ b/load_balancer/proxy/connection_table.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from load_balancer.proxy.client_connection import ClientConnection
 
-_MANY_IDLE_DIVISOR = 3  # many idle connections: at least a third of the limit
+_MANY_IDLE_DIVISOR = 3  # idle connections are many if they are at least a third of the limit
 
 
 class ConnectionState(IntEnum):
@@ -55,7 +55,7 @@
         self._start_times: dict[ConnectionState, dict[ClientConnection, float]] = {
             state: {} for state in _WAITING_FOR_CLIENT
         }
-        """For each state, its connections in the order of entering it, with the time in s since when."""
+        """For each state, its connections in the order of entering it, with their start times in s."""
 
     def __len__(self) -> int:
         return len(self._connections)
@@ -77,12 +77,12 @@
     def set_state(
         self, connection: ClientConnection, state: ConnectionState, since: float | None = None
     ) -> None:
-        """Set the state of a connection; does nothing if it is in that state already.
+        """Set the state of a connection; do nothing if it is in that state already.
 
         Args:
             connection: Connection whose state is set.
             state: New state.
-            since: Time in s since when the connection is in the state; None for now.
+            since: Start time in s, from which the connection's time in the state counts; None for now.
         """
         if state is connection.state:
             return
@@ -95,7 +95,7 @@
             start_times[connection] = self.time() if since is None else since
 
     def in_state(self, state: ConnectionState) -> Mapping[ClientConnection, float]:
-        """Return the connections in a state, in the order of entering it, with the time in s since when.
+        """Return the connections in a state, in the order of entering it, with their start times in s.
 
         The state must be one in which the client has to act next.
         """
--- a/load_balancer/proxy/eviction.py
+++ b/load_balancer/proxy/eviction.py
@@ -20,7 +20,7 @@
         self._being_evicted: ClientConnection | None = None  # aborted and not lost yet
 
     def evict(self) -> bool:
-        """Abort a connection if possible; returns whether there will be room for a new one.
+        """Abort a connection if possible, and return whether there will be room for a new one.
 
         There is room once the aborted connection is lost, in the next iteration of the event loop. No other
         connection is evicted until then.
@@ -53,7 +53,7 @@
     def _longest_in_state(self, state: ConnectionState, min_age: float) -> ClientConnection | None:
         """Return the connection that entered a state first and can be evicted, or None.
 
-        Returns None also if a connection before it has been in the state for less than ``min_age`` s.
+        Return None also if a connection before it has been in the state for less than ``min_age`` s.
         """
         now = self._table.time()
         for connection, since in self._table.in_state(state).items():
--- a/load_balancer/proxy/listener.py
+++ b/load_balancer/proxy/listener.py
@@ -17,7 +17,8 @@
 from load_balancer.proxy.eviction import NEW_CONNECTION_GRACE_S, ConnectionEvictor
 from load_balancer.proxy.request_validation import RequestValidator
 
-REQUEST_TIMEOUT_S = 2.0  # to receive a request: from the connect for the first one, else from its first byte
+# To receive a request, counted from the connection's start for the first one, else from its first byte.
+REQUEST_TIMEOUT_S = 2.0
 KEEP_ALIVE_TIMEOUT_S = 10.0  # maximum idle time between requests
 LINGER_TIMEOUT_S = 1.0  # to discard input after the last response, before the connection is closed
 SWEEP_INTERVAL_S = 0.2
@@ -125,7 +126,7 @@
                 return
 
     def _accept(self) -> bool:
-        """Accept one connection; returns whether there may be more in the backlog."""
+        """Accept one connection and return whether there may be more in the backlog."""
         assert self.socket is not None
         try:
             client_socket, _ = self.socket.accept()
--- a/load_balancer/proxy/request_parser.py
+++ b/load_balancer/proxy/request_parser.py
@@ -69,7 +69,7 @@
     def feed(self, data: bytes) -> ErrorResponse | None:
         """Parse received bytes.
 
-        Returns an error response if they are not a valid request, else None. After an error, nothing more can
+        Return an error response if they are not a valid request, else None. After an error, nothing more can
         be parsed on the connection.
         """
         self._size += len(data)
--- a/load_balancer/proxy/response_parser.py
+++ b/load_balancer/proxy/response_parser.py
@@ -49,7 +49,7 @@
         self.not_started = False
 
     def close(self) -> None:
-        """Break the reference cycle with the httptools parser, which only the cyclic collector could free."""
+        """Break the reference cycle with httptools' parser, which only the garbage collector would free."""
         if hasattr(self, "_parser"):
             del self._parser
 
@@ -100,8 +100,9 @@
         if self.complete:
             return
         lower = name.lower()
+        # Checked before the body arrives, since the upstream may never send all of it.
         if lower == b"content-length" and int(value) > MAX_BODY_SIZE:
-            raise ValueError("Content-Length too large")  # early: the body may never end
+            raise ValueError("Content-Length too large")
         if lower == b"not-started":
             self.not_started = value == b"1"
         elif lower == b"content-type":
--- a/load_balancer/proxy/upstream.py
+++ b/load_balancer/proxy/upstream.py
@@ -24,7 +24,7 @@
     address: Address
     state: EndpointState
     started_at: float
-    """Unix time in ms at which the endpoint last started; 0: long ago."""
+    """Unix time in ms at which the endpoint last started, or 0 if that was long ago."""
 
 
 @dataclass(slots=True, eq=False)
--- a/load_balancer/proxy/upstream_connection.py
+++ b/load_balancer/proxy/upstream_connection.py
@@ -28,7 +28,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The interface of the pool that its connections use."""
+    """Members of the pool that its connections use."""
 
     idle_timeout: AdaptiveIdleTimeout
 
--- a/load_balancer/proxy/upstream_pool.py
+++ b/load_balancer/proxy/upstream_pool.py
@@ -17,7 +17,7 @@
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 from load_balancer.proxy.upstream_connection import UpstreamConnection
 
-# Time from an attempt's deadline until it is aborted, in which the event loop reads its sockets once more.
+# Time from an attempt's deadline to its abort, in which the event loop reads its sockets once more.
 LAST_READ_DELAY_S = 0.001
 REAP_INTERVAL_S = 1.0
 
@@ -44,7 +44,7 @@
 
 
 class AttemptHandler(Protocol):
-    """The interface of the node that the pool uses."""
+    """Methods of the node that the pool calls."""
 
     def find_target(self, endpoint_id: int) -> UpstreamTarget:
         """Return the target of an endpoint in the current endpoint list.
@@ -85,7 +85,7 @@
 
     Attributes:
         upstreams: Upstreams with attempts in flight or idle connections, by endpoint id.
-        attempts: Attempts in flight.
+        attempts: Attempts in flight, by request id and number.
         connections: Open connections, without those being opened, which ``pending_connects`` counts.
         pending_connects: Number of connections being opened.
         counts: Counters of connection events, which the metrics reporter clears after each report.
@@ -250,8 +250,8 @@
         if not self.handler.check_client_before_send(attempt):
             connection.transport.abort()
             return
-        # Not added in connection_made: if a connect is cancelled just as it completes, uvloop closes the
-        # connection without calling connection_lost, and it would count towards the limit forever.
+        # Not added in connection_made: if connecting is cancelled just as it completes, uvloop closes the
+        # connection without calling connection_lost, so it would count towards the limit forever.
         self.connections.add(connection)
         connection.send(attempt)
 
