--- a/load_balancer/simulator/__main__.py
+++ b/load_balancer/simulator/__main__.py
@@ -16,7 +16,7 @@
 
 
 def main() -> int:
-    """Serve batches until standard input ends; returns the exit status."""
+    """Serve batches until standard input ends, and return the exit status."""
     gc.freeze()  # imported objects live until the exit, so the garbage collector need not scan them
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/load_balancer/simulator/batch_decoder.py
+++ b/load_balancer/simulator/batch_decoder.py
@@ -97,7 +97,9 @@
         number, length, now, count = BATCH_HEADER.unpack_from(frame)
         tail_start = BATCH_HEADER.size + count * EVENT_SIZE
         if length != len(frame) or tail_start > length:
-            raise WireError(f"batch {number}: {count} records do not fit into a frame of {length} bytes")
+            raise WireError(
+                f"batch {number}: {count} records do not fit into the frame, or it is not {length} bytes long"
+            )
         reader = _RecordReader(frame, number, tail_start, self._endpoint_lists)
         return Batch(number, now, reader.read_all())
 
--- a/load_balancer/simulator/host.py
+++ b/load_balancer/simulator/host.py
@@ -1,4 +1,4 @@
-"""Runs one policy for each instance in the simulator and answers its batches; contains no policy logic."""
+"""Runs a policy for each simulated instance and answers the simulator's batches; has no policy logic."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self._policies: dict[int, Policy] = {}
 
     def answer(self, batch: Batch) -> bytes:
-        """Pass the events to the policies of their instances; returns the frame of the reply.
+        """Pass the events to the policies of their instances, and return the frame of the reply.
 
         If a policy raises an exception, the reply reports it and the rest of the batch is skipped.
 
--- a/load_balancer/simulator/reply_encoder.py
+++ b/load_balancer/simulator/reply_encoder.py
@@ -30,7 +30,7 @@
     pack_write_log,
 )
 
-NO_INSTANCE = -1  # before the first selection
+NO_INSTANCE = -1  # none has been selected yet
 
 
 class TailReference(NamedTuple):
