--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -60,7 +60,7 @@
 python -m benchmarks mass-restart --nodes 300 --call-ms 10 --unavailable-for 5
 python -m benchmarks subsetting  # how evenly the subsets cover 95,000 endpoints
 python -m benchmarks slow-start --nodes 5,30,200  # attempts of all nodes at a new endpoint
-python -m benchmarks slow-start-chance  # probability that they overload it
+python -m benchmarks slow-start-chance  # probability that the nodes together overload it
 """
 
 
@@ -93,10 +93,12 @@
 @main.command("node")
 @numbers_option("--sizes", "sizes", ENDPOINT_COUNTS, "Numbers of endpoints.")
 @click.option("--seconds", default=10.0, help="Seconds to measure once the node is ready.")
-@click.option("--rate", default=1.0, help="Changes per second.")
+@click.option("--rate", default=1.0, help="Changes of the endpoint list per second.")
 @click.option("--rollout", default=0.0, help="Share of the fleet restarted each second.")
 @click.option("--zone-lost", type=float, help="Seconds until all endpoints of a zone leave at once.")
-@click.option("--node-count", default=FLEET_NODES, help="Number of nodes in the node's configuration.")
+@click.option(
+    "--node-count", default=FLEET_NODES, help="Value of GroupSize in the configuration of the measured node."
+)
 @click.option("--known", is_flag=True, help="Put a cached endpoint list into the node's configuration.")
 @click.option("--root", default=str(REPOSITORY_ROOT), help="Checkout from which the node is run.")
 @json_option
@@ -118,15 +120,15 @@
         plan = DiscoveryPlan(endpoints, rate, rollout, zone_lost)
         command = NodeCommand(arguments, root, node_count, cached_endpoints=endpoints if known else 0)
         rows.append(asdict(uvloop.run(node_process.measure_node(plan, command, seconds))))
-    show_table(f"a node of {node_count}, {rate:g} changes a second", rows, file)
+    show_table(f"one node in a fleet of {node_count}, {rate:g} changes a second", rows, file)
 
 
 @main.command("mass-restart")
 @numbers_option("--nodes", "node_counts", "100,300,1000")
 @click.option("--endpoints", default=200)
-@click.option("--call-ms", default=10.0, help="Time in ms that discovery takes for each call, one at a time.")
+@click.option("--call-ms", default=10.0, help="Time in ms that each call occupies discovery, one at a time.")
 @click.option("--unavailable-for", default=0.0, help="Seconds at the start during which discovery is down.")
-@click.option("--rate", default=1.0, help="Changes per second.")
+@click.option("--rate", default=1.0, help="Changes of the endpoint list per second.")
 @click.option("--seconds", default=10.0)
 @json_option
 def mass_restart_command(
@@ -152,9 +154,9 @@
 @click.option("--rate", default=200.0, help="Requests per second of all nodes together.")
 @click.option("--utilization", default=0.7, help="Share of a warmed-up endpoint's capacity in use.")
 @click.option(
-    "--overload-factor", default=3.0, help="Load that overloads an endpoint, relative to its capacity."
+    "--overload-factor", default=3.0, help="Load that overloads an endpoint, as a multiple of its capacity."
 )
-@click.option("--drained", default=0.9, help="Share of the warmed-up endpoints that drain in the burst.")
+@click.option("--drained", default=0.9, help="Share of the warmed-up endpoints that drain from the burst on.")
 @click.option("--seeds", default=3)
 @json_option
 def slow_start_command(
@@ -181,7 +183,7 @@
 @numbers_option("--nodes", "node_counts", "5,30,200,7900")
 @click.option("--attempts", default=5.0, help="Attempts of all nodes in a window, on average.")
 @click.option(
-    "--overload-factor", default=3.0, help="Load that overloads an endpoint, relative to its capacity."
+    "--overload-factor", default=3.0, help="Load that overloads an endpoint, as a multiple of its capacity."
 )
 @click.option("--idle-windows", default=4.0, help="Windows without attempts before the one considered.")
 @json_option
--- a/benchmarks/discovery_stub.py
+++ b/benchmarks/discovery_stub.py
@@ -30,7 +30,7 @@
 
 HEARTBEAT_INTERVAL = 2.0  # s between empty lines on a watch without changes
 HEARTBEAT = b"\n"
-MAX_HISTORY = 5000  # past changes kept for watches; a watch from before them gets a snapshot
+MAX_HISTORY = 5000  # past changes kept for watches; a watch of an older version gets a snapshot
 ROLLOUT_INTERVAL = 1.0  # s between the steps of a rollout
 IDLE_CHANGE_INTERVAL = 3600.0  # s between checks when no periodic changes are planned
 LISTEN_BACKLOG = 4096  # connections
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class DiscoveryPlan:
-    """Fleet, changes and faults that the stub serves. Times are in s."""
+    """Fleet, changes and faults that the stub simulates. Times are in s."""
 
     endpoints: int
     changes_per_second: float = 1.0
@@ -49,7 +49,7 @@
     call_time: float = 0.0
     """Time to process a call; calls are processed one after the other."""
     max_wait: float = 2.0
-    """Calls that have waited for longer are answered with status 503."""
+    """Calls that have waited for longer are rejected with status 503."""
     unavailable_for: float = 0.0
     """Time from the start during which all connections are refused."""
     seed: int = 1
@@ -132,16 +132,16 @@
             watch.changed.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer the only request of a connection."""
+        """Respond to the only request of a connection."""
         try:
             target = (await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode()
-            await self._answer(target, writer)
+            await self._respond(target, writer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             pass
         finally:
             writer.close()
 
-    async def _answer(self, target: str, writer: asyncio.StreamWriter) -> None:
+    async def _respond(self, target: str, writer: asyncio.StreamWriter) -> None:
         if not await self._admit_call():
             writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
             return
@@ -156,7 +156,7 @@
             await writer.drain()
 
     async def _admit_call(self) -> bool:
-        """Wait for earlier calls and for the call's own time; returns False if the wait was too long."""
+        """Wait for earlier calls and for the call's own time; return False if earlier calls took too long."""
         self._counts["calls"] += 1
         if not self._plan.call_time:
             return True
--- a/benchmarks/health_poller.py
+++ b/benchmarks/health_poller.py
@@ -19,7 +19,7 @@
 
     def __init__(self, port: int) -> None:
         self.ready_at: float | None = None
-        """Unix time in s of the first response with status 200; None before it."""
+        """Unix time in s of the first response with status 200; None before that."""
         self.paused = False
         """Whether polls are suspended."""
         self._port = port
--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -60,7 +60,7 @@
     def __init__(self, config: Config, change_ages: HdrHistogram) -> None:
         self.node = Node(config, asyncio.get_running_loop())
         self.list_received_at: float | None = None
-        """Unix time in s of the first update from discovery; None before it."""
+        """Unix time in s of the first update from discovery; None before that."""
         self._change_ages = change_ages
         self._handle = self.node.policy.handle
         self.node.policy.handle = self._observe  # type: ignore[method-assign]
@@ -121,7 +121,7 @@
 
 
 async def _start_all(nodes: list[HollowNode], plan: DiscoveryPlan, stub: DiscoveryStubProcess) -> float:
-    """Start the nodes; returns the Unix time in s at which discovery became available to them."""
+    """Start the nodes and return the Unix time in s at which discovery became available to them."""
     available_at = time.time()
     for hollow_node in nodes:
         hollow_node.node.discovery.start()
--- a/benchmarks/node_process.py
+++ b/benchmarks/node_process.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class NodeCost:
-    """Measurements of one node with one fleet. Times are in s unless in ms by name; memory is in MB."""
+    """Measurements of one node with one fleet. Times are in s unless the name ends in ms; memory is in MB."""
 
     endpoints: int
     ready: float
@@ -64,7 +64,7 @@
 
 
 async def measure_node(plan: DiscoveryPlan, command: NodeCommand, seconds: float) -> NodeCost:
-    """Measure one node from its start; when ready, for `seconds` at rest and then `seconds` under polls."""
+    """Measure one node from its start; once ready, for `seconds` at rest, then for `seconds` under polls."""
     async with running_discovery_stub(plan) as stub, running_node(command, stub.port) as node:
         cost = await _measure_running(plan, stub, node, seconds)
     [counts] = stub.reports(CallCounts)
--- a/benchmarks/policy_cost.py
+++ b/benchmarks/policy_cost.py
@@ -27,7 +27,7 @@
 
 ROUNDS = 3
 UPDATE_SIZE = 250  # entries per event when the node passes a snapshot to the policy
-PEAK_RATE = 87.0  # requests per second at one node of the whole fleet at peak traffic
+PEAK_RATE = 87.0  # requests per second at each node of a fleet of FLEET_NODES at peak traffic
 START_TIME = 1_000_000.0  # ms on the policy's clock
 UPKEEP_INTERVAL = 60.0  # ms, longer than the policy's interval between refreshes of its averages
 SMALL_FLEET_ENDPOINTS = 200  # used where the cost is measured by tenants or request classes
@@ -41,7 +41,7 @@
     work: str
     size: int
     ms: float
-    """Processor time of one call in ms; MB where the work is memory."""
+    """Processor time of one call in ms, or MB if the work measured is memory."""
 
 
 class MeasuredPolicy:
@@ -53,7 +53,7 @@
         self._request_ids = itertools.count()
 
     def load_endpoints(self, count: int) -> float:
-        """Apply an endpoint list in parts, like the node; returns the longest processor time per part, ms."""
+        """Apply an endpoint list in parts, like the node; return the longest part's processor time in ms."""
         longest = 0.0
         for first in range(0, count, UPDATE_SIZE):
             entries = [policy_endpoint(i) for i in range(first, min(first + UPDATE_SIZE, count))]
@@ -91,7 +91,10 @@
 
 
 def fleet_costs(endpoints: int) -> Iterator[Cost]:
-    """Measure memory, changes of the endpoint list and requests for a number of endpoints."""
+    """Measure memory, changes of the endpoint list and requests for a number of endpoints.
+
+    Requests are measured with and without upkeep, the refreshes of averages that a request may have to make.
+    """
     yield Cost("memory, MB", endpoints, _policy_memory(endpoints))
     policy = MeasuredPolicy(policy_settings())  # a new one, not slowed down by memory tracing
     yield Cost("longest part of the endpoint list", endpoints, policy.load_endpoints(endpoints))
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -62,20 +62,20 @@
 
 @dataclass(frozen=True)
 class WorstWindow:
-    """Window with the most attempts at the new endpoint relative to what it can take."""
+    """Window with the most attempts at the new endpoint relative to its bound."""
 
     nodes: int
     attempts: int
     allowed: float
     """Requests that the endpoint can serve in the window, times the overload factor (N)."""
     bound: float
-    """Attempts that count as overload if exceeded: N and an allowance for random variation."""
+    """Limit above which the attempts count as overload: N plus an allowance for random variation."""
     windows_over_bound: int
-    """Windows, one ending at each attempt, with more attempts than their bound."""
+    """Number of windows, one ending at each attempt, with more attempts than their bound."""
 
 
 def overload_bound(allowed: float) -> float:
-    """Return N + 2 sqrt(N) + 2: what N `allowed` requests of average cost may reach by random variation."""
+    """Return N + 2 sqrt(N) + 2, N being `allowed`: what N requests of average cost may reach by chance."""
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
@@ -105,7 +105,7 @@
         self._sent_at: deque[float] = deque()
 
     def add(self, now: float, allowed: float) -> None:
-        """Count an attempt at `now`, with `allowed` attempts allowed in the window that ends with it."""
+        """Count an attempt at `now`; the window that ends with it allows `allowed` attempts."""
         self._sent_at.append(now)
         while self._sent_at[0] <= now - self.length:
             self._sent_at.popleft()
--- a/benchmarks/slow_start_chance.py
+++ b/benchmarks/slow_start_chance.py
@@ -26,7 +26,7 @@
     most_spread: int
     """Largest number of attempts at once in the policy, where the phases of the nodes are spread evenly."""
     bound: float
-    """Attempts per window that count as overload if exceeded: N and an allowance for random variation."""
+    """Limit above which attempts per window count as overload: N plus an allowance for random variation."""
 
 
 def overload_chance(
--- a/benchmarks/subsetting.py
+++ b/benchmarks/subsetting.py
@@ -37,7 +37,7 @@
     load_min: float
     """Lowest load of an endpoint."""
     churn: float
-    """Average number of endpoints that enter or leave a node's subset per addition and removal of one."""
+    """Average number of endpoints that enter or leave a node's subset when one is added and one removed."""
 
 
 def measure_coverage(endpoints: int, nodes: int, by_rank: bool) -> Coverage:
