--- a/tests/proxy/harness.py
+++ b/tests/proxy/harness.py
@@ -18,7 +18,7 @@
 from load_balancer.proxy.endpoint_decoder import DiscoveryUpdate, UpdateBuilder, UpdateDecoder
 from load_balancer.proxy.node import Node
 from load_balancer.proxy.upstream import REUSE_DELAY_MS
-from tests.proxy.stubs import CLASSES, WAIT, DiscoveryStub, RawClient, UpstreamStub
+from tests.proxy.stubs import REQUEST_CLASSES, TIMEOUT_S, DiscoveryStub, RawClient, UpstreamStub
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
@@ -35,7 +35,7 @@
             idempotency=idempotency,
             deduplication_window=9000.0,
         )
-        for idempotency in CLASSES.values()
+        for idempotency in REQUEST_CLASSES.values()
     )
     values: dict[str, Any] = {
         "name": "n0",
@@ -45,7 +45,7 @@
         "max_descriptors": 1024,
         "load_cached_endpoints": None,
         "settings": Settings(classes=classes, can_cancel=True, max_attempts=attempts, max_retry_after=600.0),
-        "classes": {name.encode(): i for i, name in enumerate(CLASSES)},
+        "classes": {name.encode(): i for i, name in enumerate(REQUEST_CLASSES)},
         "tenants": {},
         "machine_types": {"m": 0},
         "zones": {"a": 0},
@@ -74,7 +74,7 @@
 
     async def next_event(self, kind: type | UnionType) -> Any:
         """Return the next event of a kind that the policy gets."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             while not isinstance(event := await self.events.get(), kind):
                 pass
         return event
@@ -85,7 +85,7 @@
 
     async def connections(self, number: int) -> AsyncIterator[ClientConnection]:
         """Yield the client connections, once there are so many."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             while len(self.node.listener.connections) != number:
                 await asyncio.sleep(0)
         for connection in self.node.listener.connections:
--- a/tests/proxy/process.py
+++ b/tests/proxy/process.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.proxy.stubs import WAIT, RawClient
+from tests.proxy.stubs import TIMEOUT_S, RawClient
 from tests.raw_settings import SETTINGS
 
 COMMAND = [sys.executable, "-B", "-m", "load_balancer.proxy"]
@@ -43,7 +43,7 @@
         """Return the next line of the log that matches."""
         assert self.process.stderr is not None
         while True:
-            line = (await asyncio.wait_for(self.process.stderr.readline(), WAIT)).decode()
+            line = (await asyncio.wait_for(self.process.stderr.readline(), TIMEOUT_S)).decode()
             assert line, "the node has ended"
             self.lines.append(line)
             if match := re.search(pattern, line):
--- a/tests/proxy/race_helpers.py
+++ b/tests/proxy/race_helpers.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tests.proxy.harness import NodeHarness
-from tests.proxy.stubs import WAIT
+from tests.proxy.stubs import TIMEOUT_S
 
 
 class HeldConnectLoop:
@@ -43,7 +43,7 @@
 
 async def wait_until(condition: Callable[[], bool]) -> None:
     """Run the loop until a condition holds."""
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0)
 
--- a/tests/proxy/stubs.py
+++ b/tests/proxy/stubs.py
@@ -1,4 +1,4 @@
-"""Stubs of the node's peers on loopback: app servers that follow a script, discovery, and a client."""
+"""Stubs of what a node talks to, over loopback: upstreams, discovery and clients."""
 
 from __future__ import annotations
 
@@ -10,18 +10,25 @@
 from load_balancer.policy.settings import Idempotency
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-CLASSES = {"find": Idempotency.IDEMPOTENT, "book": Idempotency.KEYED, "pay": Idempotency.NOT_IDEMPOTENT}
-WAIT = 10.0  # s to wait for what must happen; only a failing test reaches it
+REQUEST_CLASSES = {
+    "find": Idempotency.IDEMPOTENT,
+    "book": Idempotency.KEYED,
+    "pay": Idempotency.NOT_IDEMPOTENT,
+}
+TIMEOUT_S = 10.0  # for anything that a test waits for; reached only if the test fails
 
 Responder = Callable[["UpstreamStub", bytes, asyncio.StreamWriter], Awaitable[None]]
-"""Gets each request's head, and writes the response of the upstream."""
+"""Called with the head of each request; writes the upstream's response to the writer."""
 
 
 async def respond_ok(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
+    """Respond with status 200."""
     writer.write(OK)
 
 
 def respond_with(data: bytes) -> Responder:
+    """Return a responder that writes ``data``."""
+
     async def respond(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
 
@@ -29,7 +36,7 @@
 
 
 def respond_after(release: asyncio.Event) -> Responder:
-    """Respond with 200 once the event is set."""
+    """Return a responder that responds with status 200 once the event is set."""
 
     async def respond(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
         await release.wait()
@@ -39,20 +46,26 @@
 
 
 async def reset_connection(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
+    """Reset the connection instead of responding."""
     writer.transport.abort()
 
 
 async def never_respond(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
+    """Leave the request without a response."""
     pass
 
 
 class UpstreamStub:
-    """An app server. Each request it gets goes into `requests`, each connection that ends into `ended`."""
+    """HTTP server that acts as an upstream.
+
+    ``requests`` gets the head and body of each received request, ``disconnects`` an item for each closed
+    connection. ``connections`` is the number of connections accepted so far.
+    """
 
     def __init__(self, respond: Responder = respond_ok) -> None:
         self.respond = respond
         self.requests: asyncio.Queue[bytes] = asyncio.Queue()
-        self.ended: asyncio.Queue[int] = asyncio.Queue()
+        self.disconnects: asyncio.Queue[int] = asyncio.Queue()
         self.connections = 0
 
     async def start(self) -> UpstreamStub:
@@ -72,34 +85,38 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.ended.put_nowait(1)
+            self.disconnects.put_nowait(1)
             writer.close()
 
-    def entry(self, name: str = "s-1", state: str = "active", started: int = 0) -> dict[str, Any]:
-        """Return its entry in discovery's endpoint list; `started` in ms of Unix time."""
+    def entry(self, name: str = "s-1", lifecycle: str = "active", started_at_ms: int = 0) -> dict[str, Any]:
+        """Return an entry of discovery's endpoint list with this upstream's address.
+
+        ``started_at_ms`` is the start time in ms of Unix time.
+        """
         return {
             "instanceId": name,
             "hostPort": f"127.0.0.1:{self.port}",
             "zone": "a",
             "machineType": "m",
             "cell": 0,
-            "lifecycle": state,
+            "lifecycle": lifecycle,
             "weight": 1.0,
-            "startedAtMs": started,
+            "startedAtMs": started_at_ms,
         }
 
 
 class DiscoveryStub:
-    """Discovery. Lines put into `lines` go out on the watch; None ends it.
+    """Discovery server: responds with a snapshot, or with a watch that sends the lines in ``watch_lines``.
 
-    `calls` has the target of each call, `ended` each end of a connection.
+    None in ``watch_lines`` closes the watch. ``targets`` gets the target of each request, ``disconnects`` an
+    item for each closed connection.
     """
 
     def __init__(self, instances: list[dict[str, Any]], generation: int = 1) -> None:
         self.snapshot = {"generation": generation, "reset": True, "instances": instances}
-        self.lines: asyncio.Queue[bytes | None] = asyncio.Queue()
-        self.calls: asyncio.Queue[str] = asyncio.Queue()
-        self.ended: asyncio.Queue[int] = asyncio.Queue()
+        self.watch_lines: asyncio.Queue[bytes | None] = asyncio.Queue()
+        self.targets: asyncio.Queue[str] = asyncio.Queue()
+        self.disconnects: asyncio.Queue[int] = asyncio.Queue()
 
     async def start(self) -> DiscoveryStub:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -107,37 +124,37 @@
         return self
 
     def push(self, generation: int, instances: list[dict[str, Any]], reset: bool = False) -> None:
-        """Send a watch event."""
+        """Send an endpoint list on the watch: a delta, or a snapshot if ``reset`` is true."""
         line = {"generation": generation, "reset": reset, "instances": instances}
-        self.lines.put_nowait(json.dumps(line).encode() + b"\n")
+        self.watch_lines.put_nowait(json.dumps(line).encode() + b"\n")
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             head = await reader.readuntil(b"\r\n\r\n")
             target = head.split(b" ")[1].decode()
-            self.calls.put_nowait(target)
+            self.targets.put_nowait(target)
             if "watch" not in target:
                 body = json.dumps(self.snapshot).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
                 return
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-            pushing = asyncio.ensure_future(self.write_lines(writer))
-            await reader.read()  # until the node closes the connection
-            pushing.cancel()
+            write_task = asyncio.ensure_future(self.write_lines(writer))
+            await reader.read()  # returns when the node closes the connection
+            write_task.cancel()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.ended.put_nowait(1)
+            self.disconnects.put_nowait(1)
             writer.close()
 
     async def write_lines(self, writer: asyncio.StreamWriter) -> None:
-        while (line := await self.lines.get()) is not None:
+        while (line := await self.watch_lines.get()) is not None:
             writer.write(b"%x\r\n%b\r\n" % (len(line), line))
         writer.close()
 
 
 class RawClient:
-    """One connection to the node, on which the test writes and reads bytes."""
+    """Client connection to a node, on which tests can send arbitrary bytes such as invalid requests."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -145,29 +162,29 @@
 
     @property
     def transport(self) -> asyncio.Transport:
-        """The transport, which can pause reading."""
+        """Transport of the connection, with the type that has ``pause_reading``."""
         return cast(asyncio.Transport, self.writer.transport)
 
     async def receive(self) -> tuple[int, bytes, bytes]:
-        """Return status, head and body of the next response."""
-        async with asyncio.timeout(WAIT):
+        """Return the status, head and body of the next response."""
+        async with asyncio.timeout(TIMEOUT_S):
             head = await self.reader.readuntil(b"\r\n\r\n")
             body = await self.reader.readexactly(int(header(head, b"Content-Length") or 0))
         return int(head.split(b" ")[1]), head, body
 
     async def exchange(self, data: bytes) -> tuple[int, bytes, bytes]:
-        """Send a request, and return status, head and body of the next response."""
+        """Send a request and return the status, head and body of the next response."""
         self.writer.write(data)
         return await self.receive()
 
     async def read_to_end(self) -> bytes:
-        """Return what comes until the node closes the connection."""
-        async with asyncio.timeout(WAIT):
+        """Return all data that arrives before the node closes the connection."""
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.reader.read()
 
 
 def header(head: bytes, name: bytes) -> bytes | None:
-    """Return the value of a header; None: there is none."""
+    """Return the value of a header, or None if it is missing."""
     for line in head.split(b"\r\n")[1:]:
         key, _, value = line.partition(b": ")
         if key.lower() == name.lower():
@@ -175,20 +192,24 @@
     return None
 
 
-_ids = iter(range(1, 1 << 30))
+_request_ids = iter(range(1, 1 << 30))
 
 
 def make_request(
-    cls: str = "find", timeout: str = "8000m", key: str = "cab7", body: bytes = b"", **headers: str
+    class_name: str = "find", timeout: str = "8000m", key: str = "cab7", body: bytes = b"", **headers: str
 ) -> bytes:
-    """Return a client's request with a new id, as its class wants it; `headers` replace or add lines."""
-    idempotency = CLASSES.get(cls, Idempotency.IDEMPOTENT)
+    """Return a client's request with a new id and with the method and headers that its class requires.
+
+    ``key`` is the last part of the path. ``headers`` replaces or adds headers; underscores in their names
+    stand for hyphens.
+    """
+    idempotency = REQUEST_CLASSES.get(class_name, Idempotency.IDEMPOTENT)
     method = "GET" if idempotency is Idempotency.IDEMPOTENT else "POST"
-    lines = {"Host": "backend.local", "Request-Id": f"{next(_ids):016x}", "Request-Timeout": timeout}
+    fields = {"Host": "backend.local", "Request-Id": f"{next(_request_ids):016x}", "Request-Timeout": timeout}
     if idempotency is Idempotency.KEYED:
-        lines["Idempotency-Key"] = "5c0f"
+        fields["Idempotency-Key"] = "5c0f"
     if method == "POST":
-        lines["Content-Length"] = str(len(body))
-    lines |= {name.replace("_", "-"): value for name, value in headers.items()}
-    head = "".join(f"{name}: {value}\r\n" for name, value in lines.items())
-    return f"{method} /{cls}/{key} HTTP/1.1\r\n{head}\r\n".encode() + body
+        fields["Content-Length"] = str(len(body))
+    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
+    return f"{method} /{class_name}/{key} HTTP/1.1\r\n{head}\r\n".encode() + body
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -16,7 +16,7 @@
 from load_balancer.proxy.stable_id import stable_id
 from tests.proxy.harness import run, running_node
 from tests.proxy.stubs import (
-    WAIT,
+    TIMEOUT_S,
     UpstreamStub,
     header,
     make_request,
@@ -61,7 +61,7 @@
         async with running_node(peer) as harness:
             client = await harness.connect()
             client.writer.write(make_request() + make_request() + make_request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             harness.node.shutting_down = True
             release.set()
             for connection in (None, None, b"close"):
@@ -116,7 +116,7 @@
             first, second, third = [await harness.connect() for _ in range(3)]
             data = make_request()
             first.writer.write(data)
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             assert (await second.exchange(data))[0] == 409
             assert await second.read_to_end() == b""
             assert peer.requests.empty()
@@ -134,7 +134,7 @@
         async with running_node(peer) as harness:
             client = await harness.connect()
             client.writer.write(make_request() + make_request() + make_request())
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             assert len(harness.node.listener.connections.open_request_ids) == 3
             client.writer.close()
             await harness.next_event(RequestCancelled)
@@ -152,7 +152,7 @@
         async with running_node(peer, aim=60_000.0) as harness:
             client = await harness.connect()
             client.writer.write(b"".join(make_request(timeout="60000m") for _ in range(400)))
-            await asyncio.wait_for(peer.requests.get(), WAIT)
+            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
             table = harness.node.listener.connections
             (connection,) = table
             assert len(table.open_request_ids) <= MAX_QUEUED_REQUESTS + PARSE_CHUNK_SIZE // 100
@@ -248,7 +248,7 @@
                     if data.endswith(b"\r\n\r\n"):
                         await client.receive()
                     client.writer.close()
-                    async with asyncio.timeout(WAIT):
+                    async with asyncio.timeout(TIMEOUT_S):
                         while harness.node.listener.connections or gone() is not None:
                             await asyncio.sleep(0.001)
             finally:
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -12,7 +12,7 @@
 from load_balancer.proxy import listener as listener_module
 from tests.proxy.harness import make_config, run, running_node
 from tests.proxy.race_helpers import connect_raw, hold_connects, wait_until
-from tests.proxy.stubs import WAIT, UpstreamStub, make_request, never_respond, respond_after
+from tests.proxy.stubs import TIMEOUT_S, UpstreamStub, make_request, never_respond, respond_after
 
 # More than the node takes up at once: it pauses reading.
 PIPELINED_REQUESTS = b"".join(make_request() for _ in range(100))
@@ -30,12 +30,12 @@
             connects = hold_connects(harness)
             client = await harness.connect()
             client.writer.write(make_request("pay"))
-            await asyncio.wait_for(connects.completed.wait(), WAIT)
+            await asyncio.wait_for(connects.completed.wait(), TIMEOUT_S)
             client.writer.close()
             await harness.next_event(RequestCancelled)
             connects.release.set()
             assert (await harness.next_attempt_end()).result == AttemptResult.NOT_SENT
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert upstream.requests.empty() and not harness.node.pool.attempts
 
     run(test())
@@ -52,13 +52,13 @@
             connects = hold_connects(harness)
             client = connect_raw(harness)
             client.sendall(PIPELINED_REQUESTS)
-            await asyncio.wait_for(connects.completed.wait(), WAIT)
+            await asyncio.wait_for(connects.completed.wait(), TIMEOUT_S)
             (connection,) = harness.node.listener.connections
             assert connection.read_paused
             client.close()
             connects.release.set()
             assert (await harness.next_attempt_end()).result == AttemptResult.NOT_SENT
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert (
                 upstream.requests.empty()
                 and not harness.node.pool.attempts
@@ -76,12 +76,12 @@
         async with running_node(upstream, settings=settings_without_cancel()) as harness:
             client = await harness.connect()
             client.writer.write(make_request("pay"))
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             client.writer.close()
             await harness.next_event(RequestCancelled)
             release.set()
             assert (await harness.next_attempt_end()).result == AttemptResult.SUCCESS
-            assert upstream.ended.empty()
+            assert upstream.disconnects.empty()
 
     run(test())
 
@@ -94,7 +94,7 @@
         async with running_node(upstream) as harness:
             client = connect_raw(harness)
             client.sendall(PIPELINED_REQUESTS)
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             (connection,) = harness.node.listener.connections
             assert connection.read_paused
             client.close()
@@ -115,12 +115,12 @@
         async with running_node(upstream) as harness:
             client = connect_raw(harness)
             client.sendall(PIPELINED_REQUESTS)
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             (connection,) = harness.node.listener.connections
             assert connection.read_paused
             client.close()
             assert (
-                await asyncio.wait_for(harness.next_attempt_end(), WAIT / 2)
+                await asyncio.wait_for(harness.next_attempt_end(), TIMEOUT_S / 2)
             ).result == AttemptResult.CANCELLED
             await wait_until(lambda: not harness.node.listener.connections)
 
--- a/tests/proxy/test_configuration_reload.py
+++ b/tests/proxy/test_configuration_reload.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from tests.proxy.process import make_config_file, running_process
-from tests.proxy.stubs import WAIT, DiscoveryStub, UpstreamStub, make_request
+from tests.proxy.stubs import TIMEOUT_S, DiscoveryStub, UpstreamStub, make_request
 
 
 def test_sighup_moves_to_the_discovery_in_the_file(tmp_path: Path) -> None:
@@ -24,7 +24,7 @@
         # The variable wins at the start; from the signal on the file does.
         variable = {"ROUTER_DISCOVERY": f"127.0.0.1:{first.port}"}
         async with running_process(path, 1, variables=variable) as node:
-            while "watch" not in await asyncio.wait_for(first.calls.get(), WAIT):
+            while "watch" not in await asyncio.wait_for(first.targets.get(), TIMEOUT_S):
                 pass
             for broken in (
                 "{",
@@ -40,16 +40,18 @@
             assert (await client.exchange(make_request()))[0] == 200
             path.write_text(json.dumps(make_config_file() | {"discovery": f"127.0.0.1:{second.port}"}))
             node.process.send_signal(signal.SIGHUP)
-            assert await asyncio.wait_for(second.calls.get(), WAIT) == "/catalog/members"
-            await asyncio.wait_for(first.ended.get(), WAIT)  # of the call for the snapshot
-            await asyncio.wait_for(first.ended.get(), WAIT)  # of the watch
-            assert await asyncio.wait_for(second.calls.get(), WAIT) == "/catalog/members?watch=1&from=7"
+            assert await asyncio.wait_for(second.targets.get(), TIMEOUT_S) == "/catalog/members"
+            await asyncio.wait_for(first.disconnects.get(), TIMEOUT_S)  # of the call for the snapshot
+            await asyncio.wait_for(first.disconnects.get(), TIMEOUT_S)  # of the watch
+            assert (
+                await asyncio.wait_for(second.targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=7"
+            )
             assert (await client.exchange(make_request()))[0] == 200
             assert (old.requests.qsize(), new.requests.qsize()) == (1, 1)
             node.process.send_signal(signal.SIGHUP)  # nothing new: the watch stays
             await node.next_line("configuration reloaded")
             second.push(8, [old.entry()], reset=True)
             await node.next_line("endpoint list version 8 ")
-            assert second.calls.empty() and first.calls.empty()
+            assert second.targets.empty() and first.targets.empty()
 
     uvloop.run(test())
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -16,7 +16,7 @@
 from load_balancer.proxy.discovery_client import MAX_STALE_SNAPSHOTS
 from load_balancer.proxy.stable_id import stable_id
 from tests.proxy.harness import make_config, run, running_node
-from tests.proxy.stubs import WAIT, DiscoveryStub, UpstreamStub, make_request
+from tests.proxy.stubs import TIMEOUT_S, DiscoveryStub, UpstreamStub, make_request
 
 
 @pytest.mark.parametrize(
@@ -37,12 +37,12 @@
     async def test() -> None:
         peer = await UpstreamStub().start()
         async with running_node(peer) as harness:
-            client, calls = await harness.connect(), harness.discovery.calls
-            assert await calls.get() == "/catalog/members?watch=1&from=1"
-            harness.discovery.lines.put_nowait(line + b"\n")
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
+            client, targets = await harness.connect(), harness.discovery.targets
+            assert await targets.get() == "/catalog/members?watch=1&from=1"
+            harness.discovery.watch_lines.put_nowait(line + b"\n")
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members"
             assert (await client.exchange(make_request()))[0] == 200
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
 
     run(test())
 
@@ -51,11 +51,11 @@
     async def test() -> None:
         peer = await UpstreamStub().start()
         async with running_node(peer) as harness:
-            calls = harness.discovery.calls
-            assert await calls.get() == "/catalog/members?watch=1&from=1"
+            targets = harness.discovery.targets
+            assert await targets.get() == "/catalog/members?watch=1&from=1"
             harness.discovery.push(5, [peer.entry("s-1", "leaving")])
-            harness.discovery.lines.put_nowait(None)
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=5"
+            harness.discovery.watch_lines.put_nowait(None)
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=5"
             assert harness.node.find_target(stable_id(b"s-1")).state is EndpointState.DRAINING
 
     run(test())
@@ -67,7 +67,7 @@
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             for _ in range(3):
-                call = await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
+                call = await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S)
                 assert call == "/catalog/members?watch=1&from=1"
             assert harness.node.healthy and harness.endpoint_ids() == {stable_id(b"s-1")}
 
@@ -83,7 +83,7 @@
     monkeypatch.setattr(discovery, "SNAPSHOT_TIMEOUT_S", 0.2)
 
     async def drip(self: DiscoveryStub, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.calls.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
+        self.targets.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.transport.is_closing():
             writer.write(b"1\r\n \r\n")
@@ -94,8 +94,8 @@
     async def test() -> None:
         changes = {} if cached else {"load_cached_endpoints": None}
         async with running_node(await UpstreamStub().start(), **changes) as harness:
-            first = await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
-            assert await asyncio.wait_for(harness.discovery.calls.get(), WAIT) == first
+            first = await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S)
+            assert await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S) == first
 
     run(test())
 
@@ -117,10 +117,10 @@
         peer = await UpstreamStub().start()
         settings = replace(make_config(1).settings, endpoints_are_polled=polled)
         async with running_node(peer, settings=settings, drain_grace=500.0) as harness:
-            await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
+            await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S)
             harness.discovery.server.close()  # no new calls
-            harness.discovery.lines.put_nowait(None)  # and the watch ends
-            async with asyncio.timeout(WAIT):
+            harness.discovery.watch_lines.put_nowait(None)  # and the watch ends
+            async with asyncio.timeout(TIMEOUT_S):
                 while len(slept) < 40:
                     await sleep(0)
         assert maximum / 2 < max(slept) <= maximum
@@ -143,12 +143,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery, "FIRST_BYTE_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 4 * WAIT)
+    monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 4 * TIMEOUT_S)
 
     async def swallow(
         self: DiscoveryStub, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.calls.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
+        self.targets.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
         await reader.read()
 
     monkeypatch.setattr(DiscoveryStub, "serve", swallow)
@@ -156,7 +156,7 @@
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             for _ in range(3):
-                assert "watch" in await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
+                assert "watch" in await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S)
 
     run(test())
 
@@ -166,7 +166,7 @@
         async with running_node(await UpstreamStub().start()) as harness:
             discovery = harness.node.discovery
             while not discovery.is_failing:
-                harness.discovery.lines.put_nowait(None)
+                harness.discovery.watch_lines.put_nowait(None)
                 await asyncio.sleep(0)
             lost = await harness.next_event(EndpointUpdate)
             assert (lost.kind, lost.endpoints) == (
@@ -186,7 +186,7 @@
 
     async def by_hand(self: DiscoveryStub, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
-        self.calls.put_nowait("open")
+        self.targets.put_nowait("open")
 
     monkeypatch.setattr(DiscoveryStub, "write_lines", by_hand)
 
@@ -198,14 +198,14 @@
         peer = await UpstreamStub().start()
         other = await DiscoveryStub([peer.entry("s-2")], 9).start()
         async with running_node(peer) as harness:
-            while await asyncio.wait_for(harness.discovery.calls.get(), WAIT) != "open":
+            while await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S) != "open":
                 pass
             writers[0].write(line(2, peer.entry("s-3")))
             while (await harness.next_event(EndpointUpdate)).version != 2:
                 pass
             os.write(writers[0].get_extra_info("socket").fileno(), line(3, peer.entry("s-4")))
             harness.node.discovery.change_address(("127.0.0.1", other.port))  # before the loop reads
-            assert await asyncio.wait_for(other.calls.get(), WAIT) == "/catalog/members"
+            assert await asyncio.wait_for(other.targets.get(), TIMEOUT_S) == "/catalog/members"
             assert (await harness.next_event(EndpointUpdate)).version == 9
             assert harness.endpoint_ids() == {stable_id(b"s-2")}
 
@@ -225,10 +225,12 @@
 
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(TIMEOUT_S):
                 while len(slept) < 12:
-                    harness.discovery.lines.put_nowait(b'{"generation":2,"reset":false,"instances":[{}]}\n')
-                    await harness.discovery.calls.get()
+                    harness.discovery.watch_lines.put_nowait(
+                        b'{"generation":2,"reset":false,"instances":[{}]}\n'
+                    )
+                    await harness.discovery.targets.get()
             assert len(harness.endpoint_ids()) == 1
 
     monkeypatch.setattr(asyncio, "sleep", at_once)
@@ -244,14 +246,14 @@
     async def test() -> None:
         peer = await UpstreamStub().start()
         async with running_node(peer) as harness:
-            calls = harness.discovery.calls
+            targets = harness.discovery.targets
             harness.discovery.push(9, [peer.entry("s-2")])
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
             harness.discovery.push(8, [peer.entry("s-3")])
             for attempt in range(1, MAX_STALE_SNAPSHOTS + 1):  # the snapshot has generation 1
-                assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
+                assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members"
                 assert attempt == MAX_STALE_SNAPSHOTS or len(harness.endpoint_ids()) == 2
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
             assert len(harness.endpoint_ids()) == 1
 
     run(test())
--- a/tests/proxy/test_endpoint_updates.py
+++ b/tests/proxy/test_endpoint_updates.py
@@ -31,7 +31,7 @@
             harness.discovery.snapshot["instances"] = [discovery_entry(i) for i in range(2_000)]
             harness.discovery.snapshot["generation"] = 2
             harness.node.discovery.version = None
-            harness.discovery.lines.put_nowait(None)
+            harness.discovery.watch_lines.put_nowait(None)
             while len(harness.node.endpoints) < 2_000:
                 update = await harness.next_event(EndpointUpdate)
                 assert len(update.endpoints) <= endpoint_updater.CHANGES_PER_SLICE
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -12,7 +12,7 @@
 from load_balancer.proxy import listener as listener_module
 from load_balancer.proxy.connection_table import ConnectionState
 from tests.proxy.harness import run, running_node
-from tests.proxy.stubs import WAIT, UpstreamStub, header, make_request, respond_after
+from tests.proxy.stubs import TIMEOUT_S, UpstreamStub, header, make_request, respond_after
 
 
 def test_connections_close_after_response_when_many_are_idle() -> None:
@@ -71,7 +71,7 @@
             monkeypatch.setattr(listener, "socket", ExhaustedSocket())
             client = await harness.connect()
             client.writer.write(make_request())
-            await asyncio.wait_for(calls.get(), WAIT)
+            await asyncio.wait_for(calls.get(), TIMEOUT_S)
             assert not listener.accepting and calls.empty()
             monkeypatch.setattr(listener, "socket", real)
             listener.sweep()
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -8,7 +8,7 @@
 from tests.proxy.harness import run, running_node
 from tests.proxy.stubs import (
     OK,
-    WAIT,
+    TIMEOUT_S,
     UpstreamStub,
     header,
     make_request,
@@ -59,11 +59,11 @@
         async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(make_request())
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             client.writer.close()
             await harness.next_event(RequestCancelled)
             assert (await harness.next_attempt_end()).result == AttemptResult.CANCELLED
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             node = harness.node
             assert not node.requests.pending and not node.pool.attempts and not node.listener.connections
 
@@ -76,7 +76,7 @@
         async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(make_request())
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             harness.node.requests.respond(harness.node.requests.last_request_id, 502)
             harness.node.pool.cancel(harness.node.requests.last_request_id, 0)
             assert (await client.receive())[0] == 502
@@ -97,7 +97,7 @@
             data = make_request("book")
             assert (await (await harness.connect()).exchange(data))[0] == 503
             for upstream in upstreams:
-                received = await asyncio.wait_for(upstream.requests.get(), WAIT)
+                received = await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
                 assert header(received, b"Idempotency-Key") == b"5c0f"
                 assert header(received, b"Request-Id") == header(data, b"Request-Id")
 
--- a/tests/proxy/test_node_events.py
+++ b/tests/proxy/test_node_events.py
@@ -8,7 +8,7 @@
 from load_balancer.policy.commands import Command, RejectRequest, SendAttempt
 from load_balancer.policy.events import AttemptEnded, Event, RequestArrived, TimerFired
 from tests.proxy.harness import run, running_node
-from tests.proxy.stubs import WAIT, UpstreamStub, make_request, never_respond
+from tests.proxy.stubs import TIMEOUT_S, UpstreamStub, make_request, never_respond
 
 
 class InjectedFaultError(Exception):
@@ -43,7 +43,7 @@
         async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(make_request())
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             policy, pending_id = harness.node.policy, harness.node.requests.last_request_id
             handle = policy.handle
             commands: list[Command] = [SendAttempt(77, 1, 0.0), RejectRequest(pending_id, 0.0)]
--- a/tests/proxy/test_process.py
+++ b/tests/proxy/test_process.py
@@ -17,7 +17,7 @@
 from load_balancer.proxy.config import read_config
 from load_balancer.proxy.endpoint_decoder import UpdateBuilder
 from tests.proxy.process import COMMAND, make_config_file, running_process
-from tests.proxy.stubs import WAIT, DiscoveryStub, UpstreamStub, make_request
+from tests.proxy.stubs import TIMEOUT_S, DiscoveryStub, UpstreamStub, make_request
 
 
 @pytest.mark.parametrize(
@@ -74,14 +74,14 @@
         old, new = await UpstreamStub().start(), await UpstreamStub().start()
         discovery = await DiscoveryStub([old.entry()]).start()
         async with running_process(tmp_path / "config.json", discovery.port, sockets=128) as node:
-            while "watch" not in await asyncio.wait_for(discovery.calls.get(), WAIT):
+            while "watch" not in await asyncio.wait_for(discovery.targets.get(), TIMEOUT_S):
                 pass
             discovery.server.close()  # discovery is down, and the open watch ends with it
-            discovery.lines.put_nowait(None)
+            discovery.watch_lines.put_nowait(None)
             await node.next_line("discovery at .*: ")
             idle = [await node.connect() for _ in range(200)]
             discovery.server = await asyncio.start_server(discovery.serve, "127.0.0.1", discovery.port)
-            discovery.push(2, [old.entry(state="leaving"), new.entry("s-2")])
+            discovery.push(2, [old.entry(lifecycle="leaving"), new.entry("s-2")])
             await node.next_line("endpoint list version 2 ")
             client = await node.connect()
             assert (await client.exchange(make_request()))[0] == 200
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -16,7 +16,7 @@
 from load_balancer.proxy.listener import Listener
 from tests.proxy.harness import make_config, run, running_node
 from tests.proxy.race_helpers import connect_raw, wait_until
-from tests.proxy.stubs import WAIT, RawClient, UpstreamStub, header, make_request, never_respond
+from tests.proxy.stubs import TIMEOUT_S, RawClient, UpstreamStub, header, make_request, never_respond
 
 
 def evict(listener: Listener) -> None:
@@ -71,7 +71,7 @@
             shutdown = asyncio.ensure_future(harness.node.shut_down())
             await wait_until(lambda: harness.node.shutting_down)
             client.writer.write(data[40:])
-            forwarded = await asyncio.wait_for(upstream.requests.get(), WAIT)
+            forwarded = await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             remaining = header(forwarded, b"Request-Timeout")
             assert remaining is not None and int(remaining[:-1]) <= 1900
             client.writer.close()
@@ -96,7 +96,7 @@
             shutdown = asyncio.ensure_future(harness.node.shut_down())
             await asyncio.sleep(1.0)  # half of the shutdown is left, and the request takes longer
             client.writer.write(data[40:])
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             await shutdown
             assert not harness.node.requests.pending
             assert (await client.receive())[0] == 502
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -18,7 +18,7 @@
 from tests.proxy.harness import run, running_node
 from tests.proxy.stubs import (
     OK,
-    WAIT,
+    TIMEOUT_S,
     Responder,
     UpstreamStub,
     header,
@@ -137,7 +137,7 @@
             assert (await (await harness.connect()).exchange(make_request("pay")))[
                 0
             ] == 502  # it may have run
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
 
     run(test())
 
@@ -194,7 +194,7 @@
             client = await harness.connect()
             assert (await client.exchange(make_request()))[0] == 200
             script.writers[0].write(OK.replace(b"done", b"late"))
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert not caplog.records  # closed on purpose, not by an exception
             assert (await client.exchange(make_request()))[2] == b"done"
             assert upstream.connections == 2
@@ -209,7 +209,7 @@
         async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(make_request("find"))
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             pool = harness.node.pool
             ((key, attempt),) = pool.attempts.items()
             assert attempt.connection is not None
@@ -241,7 +241,7 @@
                 try:
                     for _ in range(3):
                         assert (await (await harness.connect()).exchange(make_request()))[0] == 200
-                    async with asyncio.timeout(WAIT):
+                    async with asyncio.timeout(TIMEOUT_S):
                         while pool.connections or any(ref() is not None for ref in references):
                             await asyncio.sleep(0.001)
                     assert len(references) == 3
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -16,7 +16,7 @@
 from load_balancer.proxy.upstream import UpstreamTarget
 from load_balancer.proxy.upstream_connection import UpstreamConnection
 from tests.proxy.harness import run, running_node
-from tests.proxy.stubs import OK, WAIT, UpstreamStub, make_request, never_respond
+from tests.proxy.stubs import OK, TIMEOUT_S, UpstreamStub, make_request, never_respond
 
 
 def upstream_request() -> UpstreamRequest:
@@ -56,10 +56,10 @@
         async with running_node(upstream) as harness:
             client = await harness.connect()
             assert (await client.exchange(make_request()))[0] == 200
-            harness.discovery.push(2, [upstream.entry("s-1", started=1_000)])
+            harness.discovery.push(2, [upstream.entry("s-1", started_at_ms=1_000)])
             while (await harness.next_event(EndpointUpdate)).version != 2:
                 pass
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert stable_id(b"s-1") in harness.endpoint_ids() and not harness.node.pool.upstreams
 
     run(test())
@@ -71,7 +71,7 @@
         async with running_node(upstream) as harness:
             client, pool = await harness.connect(), harness.node.pool
             client.writer.write(make_request())
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             for generation in range(2, 40):  # all at the same address
                 new = upstream.entry(f"s-{generation}")
                 harness.apply_delta(generation, [new, upstream.entry(f"s-{generation - 1}", "left")])
@@ -115,7 +115,7 @@
         async with running_node(upstream, aim=1000.0) as harness:
             status, _, _ = await (await harness.connect()).exchange(make_request())
             assert (status, (await harness.next_attempt_end()).result) == (503, AttemptResult.TIMEOUT)
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
 
     run(test())
 
@@ -131,7 +131,7 @@
                 client.writer.write(make_request())
                 loop, accepted = asyncio.get_running_loop(), asyncio.Event()
                 loop.add_reader(listener, accepted.set)
-                await asyncio.wait_for(accepted.wait(), WAIT)
+                await asyncio.wait_for(accepted.wait(), TIMEOUT_S)
                 loop.remove_reader(listener)
                 accepted_socket, _ = listener.accept()
 
@@ -164,7 +164,7 @@
             node.policy_runner.handlers[SendAttempt] = send_and_drain
             status, _, _ = await client.exchange(make_request())
             assert (status, (await harness.next_attempt_end()).result) == (503, AttemptResult.CONNECT_FAILED)
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert upstream.requests.empty()
 
     run(test())
@@ -207,7 +207,7 @@
             monkeypatch.setattr(UpstreamConnection, "connection_made", connect_and_cancel)
             assert (await (await harness.connect()).exchange(make_request()))[0] == 503
             assert (await harness.next_attempt_end()).result == AttemptResult.CANCELLED
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert upstream.requests.empty() and not pool.connections
 
     run(test())
@@ -236,7 +236,7 @@
             pool.max_connections = 2
             pool.send(3, 0, stable_id(b"s-3"), 5000.0, upstream_request())
             assert (await harness.next_attempt_end()).result == AttemptResult.SUCCESS
-            await asyncio.wait_for(upstreams[1].ended.get(), WAIT)
+            await asyncio.wait_for(upstreams[1].disconnects.get(), TIMEOUT_S)
             assert len(pool.upstreams[stable_id(b"s-1")].idle_connections) == 1
 
     run(test())
--- a/tests/proxy/test_upstream_races.py
+++ b/tests/proxy/test_upstream_races.py
@@ -11,7 +11,7 @@
 from load_balancer.proxy.clock import now_ms
 from tests.proxy.harness import run, running_node
 from tests.proxy.race_helpers import hold_connects, wait_until
-from tests.proxy.stubs import OK, WAIT, UpstreamStub, make_request
+from tests.proxy.stubs import OK, TIMEOUT_S, UpstreamStub, make_request
 
 
 def test_connection_made_after_the_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -23,7 +23,7 @@
             connects = hold_connects(harness)
             client = await harness.connect()
             client.writer.write(make_request("pay"))
-            await asyncio.wait_for(connects.completed.wait(), WAIT)
+            await asyncio.wait_for(connects.completed.wait(), TIMEOUT_S)
             (attempt,) = harness.node.pool.attempts.values()
             await wait_until(lambda: attempt.deadline_passed)
             connects.release.set()
