--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -149,7 +149,7 @@
     async def test() -> None:
         peer = await UpstreamStub(respond_after(release)).start()
         # Long time limits, for a slow machine: the last of the 400 requests waits for all the others.
-        async with running_node(peer, aim=60_000.0) as harness:
+        async with running_node(peer, latency_objective_ms=60_000.0) as harness:
             client = await harness.connect()
             client.writer.write(b"".join(make_request(timeout="60000m") for _ in range(400)))
             await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -45,7 +45,7 @@
             await UpstreamStub(reset_connection).start(),
             await UpstreamStub(reset_connection).start(),
         ]
-        async with running_node(*upstreams, attempts=4) as harness:
+        async with running_node(*upstreams, attempt_limit=4) as harness:
             status, _, _ = await (await harness.connect()).exchange(make_request("pay"))
             assert status == 502
             assert sum(upstream.requests.qsize() for upstream in upstreams) == 1
@@ -92,7 +92,7 @@
             await UpstreamStub(reset_connection).start(),
             await UpstreamStub(reset_connection).start(),
         ]
-        async with running_node(*upstreams, attempts=4) as harness:
+        async with running_node(*upstreams, attempt_limit=4) as harness:
             harness.node.policy._retries._random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
             data = make_request("book")
             assert (await (await harness.connect()).exchange(data))[0] == 503
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -119,7 +119,7 @@
     async def test() -> None:
         script = respond_with(b"HTTP/1.1 %d No\r\nContent-Length: 3\r\n\r\nbad" % status)
         upstreams = [await UpstreamStub(script).start() for _ in range(3)]
-        async with running_node(*upstreams, attempts=4) as harness:
+        async with running_node(*upstreams, attempt_limit=4) as harness:
             returned, _, body = await (await harness.connect()).exchange(make_request())
             assert (returned, body) == (status, b"bad")
             assert sum(upstream.requests.qsize() for upstream in upstreams) == 1
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -112,7 +112,7 @@
 def test_silent_upstream_times_out_and_its_connection_is_closed() -> None:
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
-        async with running_node(upstream, aim=1000.0) as harness:
+        async with running_node(upstream, latency_objective_ms=1000.0) as harness:
             status, _, _ = await (await harness.connect()).exchange(make_request())
             assert (status, (await harness.next_attempt_end()).result) == (503, AttemptResult.TIMEOUT)
             await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
@@ -126,7 +126,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             upstream = UpstreamStub()
             upstream.port = listener.getsockname()[1]
-            async with running_node(upstream, aim=300.0) as harness:
+            async with running_node(upstream, latency_objective_ms=300.0) as harness:
                 client = await harness.connect()
                 client.writer.write(make_request())
                 loop, accepted = asyncio.get_running_loop(), asyncio.Event()
--- a/tests/proxy/test_upstream_races.py
+++ b/tests/proxy/test_upstream_races.py
@@ -19,7 +19,7 @@
 
     async def test() -> None:
         upstream = await UpstreamStub().start()
-        async with running_node(upstream, aim=200.0) as harness:
+        async with running_node(upstream, latency_objective_ms=200.0) as harness:
             connects = hold_connects(harness)
             client = await harness.connect()
             client.writer.write(make_request("pay"))
