--- a/tests/proxy/process.py
+++ b/tests/proxy/process.py
@@ -1,4 +1,4 @@
-"""The node as a program of its own."""
+"""Runs a node in a process of its own, as in production."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tests.proxy.stubs import TIMEOUT_S, RawClient
 from tests.raw_settings import SETTINGS
 
-COMMAND = [sys.executable, "-B", "-m", "load_balancer.proxy"]
+NODE_COMMAND = [sys.executable, "-B", "-m", "load_balancer.proxy"]
 
 
-def make_config_file() -> dict[str, Any]:
+def make_config_content() -> dict[str, Any]:
     """Return the content of a configuration file that a node can start with."""
-    find = {"Name": "find", "Aim": 5000.0, "Deadline": 9000.0, "Idempotency": "free", "Worth": 1.0}
+    find_class = {"Name": "find", "Aim": 5000.0, "Deadline": 9000.0, "Idempotency": "free", "Worth": 1.0}
     allowed = {**SETTINGS["Allowed"], "DialTimeout": 5000.0, "ConnIdle": 15000.0}
     return {
         "name": "n0",
@@ -28,56 +28,64 @@
         "discovery": "127.0.0.1:1",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": {**SETTINGS, "Classes": [find], "Allowed": allowed, "Customers": []},
+        "settings": {**SETTINGS, "Classes": [find_class], "Allowed": allowed, "Customers": []},
     }
 
 
-class Process:
-    """A running program, and the lines of its log that have been read."""
+class NodeProcess:
+    """Running process of a node; ``log_lines`` holds the lines of its log that have been read."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
 
     async def next_line(self, pattern: str) -> re.Match[str]:
-        """Return the next line of the log that matches."""
+        """Wait for the next line of the log that matches a regular expression and return the match."""
         assert self.process.stderr is not None
         while True:
             line = (await asyncio.wait_for(self.process.stderr.readline(), TIMEOUT_S)).decode()
-            assert line, "the node has ended"
-            self.lines.append(line)
+            assert line, "the node has closed its log"
+            self.log_lines.append(line)
             if match := re.search(pattern, line):
                 return match
 
-    async def listening(self) -> None:
-        """Return once the node listens and has an endpoint list."""
+    async def wait_until_ready(self) -> None:
+        """Wait until the node listens and has applied version 1 of the endpoint list; sets ``port``."""
         self.port = int((await self.next_line(r"listens on 127\.0\.0\.1:(\d+)"))[1])
         await self.next_line("endpoint list version 1 ")
 
     async def connect(self) -> RawClient:
+        """Open a client connection to the node."""
         return RawClient(*await asyncio.open_connection("127.0.0.1", self.port))
 
 
 @asynccontextmanager
-async def running_process(
-    path: Path, discovery: int, sockets: int = 1024, variables: Mapping[str, str] | None = None
-) -> AsyncIterator[Process]:
-    """Run a node with a configuration file at this path and a limit on descriptors.
+async def running_node_process(
+    config_path: Path,
+    discovery_port: int,
+    max_descriptors: int = 1024,
+    extra_environment: Mapping[str, str] | None = None,
+) -> AsyncIterator[NodeProcess]:
+    """Run a node process until the block ends, and kill it if it is still running then.
 
-    `discovery` is the port of discovery in the file, `variables` go into the environment.
+    Args:
+        config_path: Where the configuration file is written.
+        discovery_port: Port of discovery in the configuration file.
+        max_descriptors: Limit on file descriptors, set in the configuration file and by ulimit.
+        extra_environment: Environment variables for the process.
     """
-    limits = {"cores": 1.0, "memory_mb": 192, "sockets": sockets}
-    path.write_text(
-        json.dumps(make_config_file() | {"discovery": f"127.0.0.1:{discovery}", "limits": limits})
+    limits = {"cores": 1.0, "memory_mb": 192, "sockets": max_descriptors}
+    config_path.write_text(
+        json.dumps(make_config_content() | {"discovery": f"127.0.0.1:{discovery_port}", "limits": limits})
     )
     process = await asyncio.create_subprocess_exec(
-        *("sh", "-c", f'ulimit -n {sockets}; exec "$@"', "sh", *COMMAND),
-        env=os.environ | {"ROUTER_CONFIG": str(path)} | dict(variables or {}),
+        *("sh", "-c", f'ulimit -n {max_descriptors}; exec "$@"', "sh", *NODE_COMMAND),
+        env=os.environ | {"ROUTER_CONFIG": str(config_path)} | dict(extra_environment or {}),
         stderr=asyncio.subprocess.PIPE,
     )
-    node = Process(process)
+    node = NodeProcess(process)
     try:
-        await node.listening()
+        await node.wait_until_ready()
         yield node
     finally:
         if process.returncode is None:
--- a/tests/proxy/test_configuration_reload.py
+++ b/tests/proxy/test_configuration_reload.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from tests.proxy.process import make_config_file, running_process
+from tests.proxy.process import make_config_content, running_node_process
 from tests.proxy.stubs import TIMEOUT_S, DiscoveryStub, UpstreamStub, make_request
 
 
@@ -23,13 +23,13 @@
         path = tmp_path / "config.json"
         # The variable wins at the start; from the signal on the file does.
         variable = {"ROUTER_DISCOVERY": f"127.0.0.1:{first.port}"}
-        async with running_process(path, 1, variables=variable) as node:
+        async with running_node_process(path, 1, extra_environment=variable) as node:
             while "watch" not in await asyncio.wait_for(first.targets.get(), TIMEOUT_S):
                 pass
             for broken in (
                 "{",
                 "",
-                json.dumps(make_config_file())[:200],
+                json.dumps(make_config_content())[:200],
                 "[" * 100_000,
                 json.dumps({"discovery": 1}),
             ):
@@ -38,7 +38,7 @@
                 await node.next_line("ERROR configuration unchanged")
             client = await node.connect()
             assert (await client.exchange(make_request()))[0] == 200
-            path.write_text(json.dumps(make_config_file() | {"discovery": f"127.0.0.1:{second.port}"}))
+            path.write_text(json.dumps(make_config_content() | {"discovery": f"127.0.0.1:{second.port}"}))
             node.process.send_signal(signal.SIGHUP)
             assert await asyncio.wait_for(second.targets.get(), TIMEOUT_S) == "/catalog/members"
             await asyncio.wait_for(first.disconnects.get(), TIMEOUT_S)  # of the call for the snapshot
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -8,7 +8,7 @@
 
 import uvloop
 
-from tests.proxy.process import running_process
+from tests.proxy.process import running_node_process
 from tests.proxy.stubs import TIMEOUT_S, DiscoveryStub, UpstreamStub, header, make_request, respond_after
 
 
@@ -18,7 +18,7 @@
     async def test() -> None:
         upstream = await UpstreamStub(respond_after(release)).start()
         discovery = await DiscoveryStub([upstream.entry()]).start()
-        async with running_process(tmp_path / "config.json", discovery.port) as node:
+        async with running_node_process(tmp_path / "config.json", discovery.port) as node:
             in_flight, idle = await node.connect(), await node.connect()
             assert (await idle.exchange(b"GET /_health HTTP/1.1\r\n\r\n"))[0] == 200
             in_flight.writer.write(make_request())
--- a/tests/proxy/test_process.py
+++ b/tests/proxy/test_process.py
@@ -16,7 +16,7 @@
 from load_balancer.proxy.address_table import AddressTable
 from load_balancer.proxy.config import read_config
 from load_balancer.proxy.endpoint_decoder import UpdateBuilder
-from tests.proxy.process import COMMAND, make_config_file, running_process
+from tests.proxy.process import NODE_COMMAND, make_config_content, running_node_process
 from tests.proxy.stubs import TIMEOUT_S, DiscoveryStub, UpstreamStub, make_request
 
 
@@ -35,11 +35,11 @@
 )
 def test_invalid_configuration_exits_with_one_line(tmp_path: Path, change: Any, words: str) -> None:
     path = tmp_path / "config.json"
-    path.write_text(change if isinstance(change, str) else json.dumps(make_config_file() | (change or {})))
+    path.write_text(change if isinstance(change, str) else json.dumps(make_config_content() | (change or {})))
     environ = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
     if change is not None:
         environ["ROUTER_CONFIG"] = str(path)
-    done = subprocess.run(COMMAND, env=environ, capture_output=True, text=True, check=False)
+    done = subprocess.run(NODE_COMMAND, env=environ, capture_output=True, text=True, check=False)
     assert (done.returncode, done.stdout) == (2, "")
     assert words in done.stderr and done.stderr.count("\n") == 1
 
@@ -58,7 +58,7 @@
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(
-        json.dumps({"known": known} | make_config_file() | {"other": {"known": {"instances": 7}}})
+        json.dumps({"known": known} | make_config_content() | {"other": {"known": {"instances": 7}}})
     )
     config = read_config({"ROUTER_CONFIG": str(path)})
     assert config.settings.classes[0].latency_objective == 5000.0
@@ -73,7 +73,9 @@
     async def test() -> None:
         old, new = await UpstreamStub().start(), await UpstreamStub().start()
         discovery = await DiscoveryStub([old.entry()]).start()
-        async with running_process(tmp_path / "config.json", discovery.port, sockets=128) as node:
+        async with running_node_process(
+            tmp_path / "config.json", discovery.port, max_descriptors=128
+        ) as node:
             while "watch" not in await asyncio.wait_for(discovery.targets.get(), TIMEOUT_S):
                 pass
             discovery.server.close()  # discovery is down, and the open watch ends with it
