--- a/tests/proxy/race_helpers.py
+++ b/tests/proxy/race_helpers.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests that force two events into the harmful order."""
+"""Helpers for tests of race conditions: they force two events into the order that exposes the race."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class HeldConnectLoop:
-    """A loop whose connects complete, and return their connection only once they are released."""
+    """Event loop in which ``create_connection`` connects at once but returns only after ``release`` is set.
+
+    ``completed`` is set when the first connection has been made.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -23,31 +26,34 @@
         return getattr(self.loop, name)
 
     async def create_connection(self, *args: Any) -> Any:
-        """Connect, and wait for the release."""
+        """Connect, and return the connection once ``release`` is set."""
         connection = await self.loop.create_connection(*args)
         self.completed.set()
         try:
             await self.release.wait()
         except asyncio.CancelledError:
-            connection[0].abort()  # as the loop itself does
+            connection[0].abort()  # as the real loop does on cancellation
             raise
         return connection
 
 
 def hold_connects(harness: NodeHarness) -> HeldConnectLoop:
-    """Make the node's pool connect through a held loop, and return that."""
+    """Hold back the connections that the node opens to upstreams; returns the loop that releases them."""
     loop = HeldConnectLoop(asyncio.get_running_loop())
     harness.node.pool.loop = loop  # type: ignore[assignment]
     return loop
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Run the loop until a condition holds."""
+    """Run the event loop until a condition holds."""
     async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0)
 
 
 def connect_raw(harness: NodeHarness) -> socket.socket:
-    """Return a blocking client: each of its steps is done on return, without a loop iteration."""
+    """Return a blocking socket that is connected to the node.
+
+    Unlike the calls of asyncio, each of its calls takes effect before the event loop runs again.
+    """
     return socket.create_connection(harness.node.listener.address)
