--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Client connections: pipelining, responses, flow control and how a connection ends."""
+"""Client connections: pipelining, responses, flow control and closing."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
 
 
 def test_pipelined_requests_get_responses_in_order() -> None:
-    async def echo(peer: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
-        name = head.split(b" ")[1].rpartition(b"/")[2]
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name))
+    async def echo(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
+        body = head.split(b" ")[1].rpartition(b"/")[2]
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
     async def test() -> None:
         async with running_node(await UpstreamStub(echo).start()) as harness:
@@ -54,14 +54,15 @@
 
 
 def test_pipelined_requests_all_get_responses_during_shutdown() -> None:
+    # Closing the connection after the first response would lose the requests that are queued behind it.
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await UpstreamStub(respond_after(release)).start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub(respond_after(release)).start()
+        async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(make_request() + make_request() + make_request())
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             harness.node.shutting_down = True
             release.set()
             for connection in (None, None, b"close"):
@@ -72,7 +73,8 @@
     run(test())
 
 
-def test_many_immediate_responses_do_not_nest() -> None:
+def test_many_immediate_responses_do_not_recurse() -> None:
+    # Each response serves the next queued request; nested calls would exceed the recursion limit.
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             client = await harness.connect()
@@ -83,7 +85,7 @@
     run(test())
 
 
-def test_client_that_expects_100_continue_gets_it() -> None:
+def test_expect_100_continue_gets_an_interim_response() -> None:
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             client = await harness.connect()
@@ -96,8 +98,8 @@
 
 def test_health_check_reports_whether_node_is_healthy() -> None:
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer, load_cached_endpoints=None) as harness:
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream, load_cached_endpoints=None) as harness:
             client = await harness.connect()
             await harness.next_event(EndpointUpdate)
             assert (await client.exchange(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
@@ -107,19 +109,20 @@
     run(test())
 
 
-def test_duplicate_request_id_is_rejected_until_first_has_a_response() -> None:
+def test_request_id_is_rejected_while_another_request_with_it_is_open() -> None:
+    # An endpoint could not tell two open requests with the same id apart.
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await UpstreamStub(respond_after(release)).start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub(respond_after(release)).start()
+        async with running_node(upstream) as harness:
             first, second, third = [await harness.connect() for _ in range(3)]
             data = make_request()
             first.writer.write(data)
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             assert (await second.exchange(data))[0] == 409
             assert await second.read_to_end() == b""
-            assert peer.requests.empty()
+            assert upstream.requests.empty()
             release.set()
             assert (await first.receive())[0] == 200
             assert (await third.exchange(data))[0] == 200
@@ -129,12 +132,13 @@
 
 
 def test_request_ids_are_released_when_client_disconnects() -> None:
+    # An id that is never released would make the node reject every later request with the same id.
     async def test() -> None:
-        peer = await UpstreamStub(never_respond).start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub(never_respond).start()
+        async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(make_request() + make_request() + make_request())
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             assert len(harness.node.listener.connections.open_request_ids) == 3
             client.writer.close()
             await harness.next_event(RequestCancelled)
@@ -143,18 +147,20 @@
     run(test())
 
 
-def test_pipelined_requests_are_queued_a_few_at_a_time() -> None:
+def test_number_of_queued_requests_is_bounded() -> None:
+    # A single read may hold hundreds of requests, so pausing reads alone does not bound the queue.
     release = asyncio.Event()
 
     async def test() -> None:
-        peer = await UpstreamStub(respond_after(release)).start()
-        # Long time limits, for a slow machine: the last of the 400 requests waits for all the others.
-        async with running_node(peer, latency_objective_ms=60_000.0) as harness:
+        upstream = await UpstreamStub(respond_after(release)).start()
+        # The last of the 400 requests waits for all others, which takes long on a slow machine.
+        async with running_node(upstream, latency_objective_ms=60_000.0) as harness:
             client = await harness.connect()
             client.writer.write(b"".join(make_request(timeout="60000m") for _ in range(400)))
-            await asyncio.wait_for(peer.requests.get(), TIMEOUT_S)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             table = harness.node.listener.connections
             (connection,) = table
+            # The chunk that fills the queue may hold further requests, each longer than 100 bytes.
             assert len(table.open_request_ids) <= MAX_QUEUED_REQUESTS + PARSE_CHUNK_SIZE // 100
             release.set()
             for _ in range(400):
@@ -164,7 +170,8 @@
     run(test())
 
 
-def test_error_response_arrives_while_client_keeps_sending() -> None:
+def test_error_response_reaches_a_client_that_is_still_sending() -> None:
+    # Closing a socket that has unread data resets the connection, and the client could lose the response.
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             client = await harness.connect()
@@ -176,13 +183,18 @@
     run(test())
 
 
-def test_last_response_reaches_client_that_reads_late(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_closing_connection_keeps_responses_for_a_client_that_reads_late(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # The timeout for closing connections must not apply while responses wait in the write buffer.
     monkeypatch.setattr(listener_module, "LINGER_TIMEOUT_S", 0.0)
-    big = b"x" * 60_000
-    script = respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(big), big))
+    large_body = b"x" * 60_000
+    respond_large = respond_with(
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(large_body), large_body)
+    )
 
     async def test() -> None:
-        async with running_node(await UpstreamStub(script).start()) as harness:
+        async with running_node(await UpstreamStub(respond_large).start()) as harness:
             client = await harness.connect()
             client.transport.pause_reading()
             client.writer.write(b"".join(make_request() for _ in range(300)) + b"nonsense\r\n\r\n")
@@ -192,7 +204,7 @@
             harness.node.listener.sweep()
             client.transport.resume_reading()
             for _ in range(300):
-                assert (await client.receive())[2] == big
+                assert (await client.receive())[2] == large_body
             assert (await client.receive())[0] == 400
             harness.node.listener.sweep()
             assert await client.read_to_end() == b""
@@ -201,13 +213,14 @@
 
 
 def test_queued_requests_wait_while_client_does_not_read() -> None:
-    big = b"x" * 60_000
+    # Serving them would buffer any number of responses for a client that does not read.
+    large_body = b"x" * 60_000
 
     async def test() -> None:
-        peer = await UpstreamStub(
-            respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(big), big))
+        upstream = await UpstreamStub(
+            respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(large_body), large_body))
         ).start()
-        async with running_node(peer) as harness:
+        async with running_node(upstream) as harness:
             client = await harness.connect()
             client.transport.pause_reading()
             client.writer.write(b"".join(make_request() for _ in range(300)))
@@ -215,22 +228,23 @@
             while not connection.write_paused:
                 await asyncio.sleep(0)
             idle = harness.node.listener.connections.in_state(ConnectionState.IDLE)
-            assert connection in idle  # until it reads, or for KEEP_ALIVE_TIMEOUT_S
+            assert connection in idle  # closed after KEEP_ALIVE_TIMEOUT_S unless the client reads
             last_id = harness.node.requests.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
             assert harness.node.requests.last_request_id == last_id < 300
             client.transport.resume_reading()
             for _ in range(300):
-                assert (await client.receive())[2] == big
+                assert (await client.receive())[2] == large_body
 
     run(test())
 
 
 def test_closed_connection_leaves_no_reference_cycle() -> None:
+    # A connection and its parser refer to each other; only the garbage collector would free them.
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream) as harness:
             gc.collect()
             gc.disable()
             try:
@@ -243,13 +257,13 @@
                     client = await harness.connect()
                     client.writer.write(data)
                     (connection,) = [c async for c in harness.connections(1)]
-                    gone = weakref.ref(connection)
+                    connection_ref = weakref.ref(connection)
                     del connection
                     if data.endswith(b"\r\n\r\n"):
                         await client.receive()
                     client.writer.close()
                     async with asyncio.timeout(TIMEOUT_S):
-                        while harness.node.listener.connections or gone() is not None:
+                        while harness.node.listener.connections or connection_ref() is not None:
                             await asyncio.sleep(0.001)
             finally:
                 gc.enable()
@@ -257,13 +271,13 @@
     run(test())
 
 
-def test_tcp_nodelay_is_set_on_both_sides() -> None:
+def test_tcp_nodelay_is_set_on_client_and_upstream_connections() -> None:
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             assert (await (await harness.connect()).exchange(make_request()))[0] == 200
-            (client,) = harness.node.listener.connections
-            (server,) = harness.node.pool.upstreams[stable_id(b"s-1")].idle_connections
-            for connection in (client, server):
+            (client_connection,) = harness.node.listener.connections
+            (upstream_connection,) = harness.node.pool.upstreams[stable_id(b"s-1")].idle_connections
+            for connection in (client_connection, upstream_connection):
                 sock = connection.transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
