--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect just before their request is sent to an upstream."""
+"""Clients that disconnect shortly before or after their request is sent to an upstream."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 from tests.proxy.race_helpers import connect_raw, hold_connects, wait_until
 from tests.proxy.stubs import TIMEOUT_S, UpstreamStub, make_request, never_respond, respond_after
 
-# More than the node takes up at once: it pauses reading.
+# More requests than the node queues at a time, so that it pauses reading.
 PIPELINED_REQUESTS = b"".join(make_request() for _ in range(100))
 
 
 def settings_without_cancel() -> Settings:
-    """Return the settings of the other tests, in a deployment where attempts can't be cancelled."""
+    """Return the default settings of the tests, but with attempts that can't be cancelled."""
     return replace(make_config(1).settings, can_cancel=False)
 
 
 def test_request_is_not_sent_if_the_client_disconnects_during_connect() -> None:
+    # An attempt that can't be cancelled would otherwise be sent once the connection to the upstream is made.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream, settings=settings_without_cancel()) as harness:
@@ -41,10 +42,11 @@
     run(test())
 
 
-def test_request_is_not_sent_if_the_client_disconnected_unread_when_the_connection_is_made(
+def test_request_is_not_sent_if_the_disconnect_is_undetected_when_the_connect_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listener_module, "SWEEP_INTERVAL_S", 60.0)  # it would detect the disconnect too
+    # The event loop does not detect a disconnect while reading is paused.
+    monkeypatch.setattr(listener_module, "SWEEP_INTERVAL_S", 60.0)  # a sweep would detect it first
 
     async def test() -> None:
         upstream = await UpstreamStub().start()
@@ -68,7 +70,7 @@
     run(test())
 
 
-def test_attempt_in_flight_survives_a_disconnect_if_attempts_cannot_be_cancelled() -> None:
+def test_attempt_in_flight_continues_after_a_disconnect_if_attempts_cannot_be_cancelled() -> None:
     release = asyncio.Event()
 
     async def test() -> None:
@@ -86,7 +88,8 @@
     run(test())
 
 
-def test_pipelined_requests_are_not_sent_after_an_unread_disconnect() -> None:
+def test_pipelined_requests_are_not_sent_after_an_undetected_disconnect() -> None:
+    # The response to the first request makes the node serve the next one, before a sweep detects the close.
     release = asyncio.Event()
 
     async def test() -> None:
@@ -109,7 +112,8 @@
     run(test())
 
 
-def test_sweep_detects_a_disconnect_behind_a_paused_reader() -> None:
+def test_sweep_detects_a_disconnect_while_reading_is_paused() -> None:
+    # Without the sweep, the attempt would run until its deadline.
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
         async with running_node(upstream) as harness:
@@ -128,12 +132,13 @@
 
 
 def test_request_of_a_client_that_disconnected_in_the_accept_backlog_is_not_sent() -> None:
+    # The node reads the request before it detects the close that follows it.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
             assert (await (await harness.connect()).exchange(make_request()))[0] == 200
             await upstream.requests.get()
-            # An idle connection is reusable, so only the disconnect can hold the request back.
+            # With a reusable connection, nothing but the disconnect keeps the request from being sent.
             harness.age_idle_connections()
             listener = harness.node.listener
             listener.pause_accepting()  # as at the connection limit
