--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener: the limit of connections, lack of descriptors, and timeouts of clients."""
+"""The listener: connection limit, exhausted file descriptors and timeouts of clients."""
 
 from __future__ import annotations
 
@@ -15,27 +15,29 @@
 from tests.proxy.stubs import TIMEOUT_S, UpstreamStub, header, make_request, respond_after
 
 
-def test_connections_close_after_response_when_many_are_idle() -> None:
-    # Clients that sent one request and kept their connection left none to others: 6 in 10 requests of a day
-    # were never accepted, with 128 connections idle (incident r2136ee, a count of the connections).
+def test_connections_close_after_their_response_when_many_are_idle() -> None:
+    # Clients that sent one request and kept their connection open used up the limit: with 128 connections
+    # idle, 6 in 10 requests of a day were never accepted.
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             harness.node.listener.connections.limit = 6
             clients = [await harness.connect() for _ in range(4)]
-            ends = [header((await client.exchange(make_request()))[1], b"Connection") for client in clients]
-            assert ends == [None, None, b"close", b"close"]
+            connection_headers = [
+                header((await client.exchange(make_request()))[1], b"Connection") for client in clients
+            ]
+            assert connection_headers == [None, None, b"close", b"close"]
             assert await clients[3].read_to_end() == b""
             assert (await clients[0].exchange(make_request()))[0] == 200
 
     run(test())
 
 
-def test_limit_holds_when_no_connection_is_idle_and_next_client_is_served_later() -> None:
+def test_connection_limit_holds_if_none_is_idle_and_waiting_clients_are_served_later() -> None:
     release = asyncio.Event()
 
     async def test() -> None:
-        peers = [await UpstreamStub(respond_after(release)).start() for _ in range(3)]
-        async with running_node(*peers, max_descriptors=96) as harness:
+        upstreams = [await UpstreamStub(respond_after(release)).start() for _ in range(3)]
+        async with running_node(*upstreams, max_descriptors=96) as harness:
             listener = harness.node.listener
             listener.connections.limit = 3
             clients = [await harness.connect() for _ in range(5)]
@@ -55,36 +57,37 @@
 
 
 def test_descriptor_exhaustion_pauses_accepting_until_next_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The socket stays readable while accept fails, so accepting without a pause would be a busy loop.
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             listener = harness.node.listener
-            real, calls = listener.socket, asyncio.Queue[int]()
+            real_socket, accept_calls = listener.socket, asyncio.Queue[int]()
 
             class ExhaustedSocket:
                 def accept(self) -> None:
-                    calls.put_nowait(1)
+                    accept_calls.put_nowait(1)
                     raise OSError(errno.EMFILE, "too many open files")
 
                 def __getattr__(self, name: str) -> Any:
-                    return getattr(real, name)
+                    return getattr(real_socket, name)
 
             monkeypatch.setattr(listener, "socket", ExhaustedSocket())
             client = await harness.connect()
             client.writer.write(make_request())
-            await asyncio.wait_for(calls.get(), TIMEOUT_S)
-            assert not listener.accepting and calls.empty()
-            monkeypatch.setattr(listener, "socket", real)
+            await asyncio.wait_for(accept_calls.get(), TIMEOUT_S)
+            assert not listener.accepting and accept_calls.empty()
+            monkeypatch.setattr(listener, "socket", real_socket)
             listener.sweep()
             assert (await client.receive())[0] == 200
 
     run(test())
 
 
-def test_clients_without_complete_request_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_without_a_complete_request_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
-            silent, blank, incomplete = [await harness.connect() for _ in range(3)]
-            blank.writer.write(b"\r\n\r\n")
+            silent, blank_lines, incomplete = [await harness.connect() for _ in range(3)]
+            blank_lines.writer.write(b"\r\n\r\n")
             incomplete.writer.write(make_request()[:-2])
             listener, table = harness.node.listener, harness.node.listener.connections
             while (
@@ -94,7 +97,7 @@
                 await asyncio.sleep(0)
             monkeypatch.setattr(listener_module, "REQUEST_TIMEOUT_S", 0.0)
             listener.sweep()
-            assert await silent.read_to_end() == b"" and await blank.read_to_end() == b""
+            assert await silent.read_to_end() == b"" and await blank_lines.read_to_end() == b""
             assert (await incomplete.receive())[0] == 408
             assert await incomplete.read_to_end() == b""
             assert not table.in_state(ConnectionState.CONNECTED)
@@ -117,7 +120,7 @@
     run(test())
 
 
-def test_incomplete_request_gets_408(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_request_gets_408_from_the_periodic_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener_module, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
