--- a/tests/proxy/test_eviction.py
+++ b/tests/proxy/test_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction: which connection is closed for a new client at the limit of connections."""
+"""Eviction: which connection is closed for a new client at the connection limit."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tests.proxy.stubs import UpstreamStub, make_request
 
 
-def test_longest_idle_connection_is_evicted_at_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Most connections here are closing, and would be evicted first once the grace is over.
+def test_longest_idle_connection_is_evicted_at_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Most connections here are closing: they would be evicted first once NEW_CONNECTION_GRACE_S has passed.
     monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 60.0)
 
     async def test() -> None:
@@ -22,8 +22,8 @@
             clients = [await harness.connect() for _ in range(limit)]
             for client in clients:
                 assert (await client.exchange(make_request()))[0] == 200
-            newest = await harness.connect()
-            assert (await newest.exchange(make_request()))[0] == 200
+            new_client = await harness.connect()
+            assert (await new_client.exchange(make_request()))[0] == 200
             assert await clients[0].read_to_end() == b""
             assert (await clients[1].exchange(make_request()))[0] == 200
             assert len(harness.node.listener.connections) == limit
@@ -31,7 +31,7 @@
     run(test())
 
 
-def test_closing_connections_are_evicted_before_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_closing_connection_is_evicted_before_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def test() -> None:
@@ -40,49 +40,50 @@
             clients = [await harness.connect() for _ in range(table.limit)]
             for client in clients:
                 assert (await client.exchange(make_request()))[0] == 200
-            closing = len(table.in_state(ConnectionState.CLOSING))
-            assert closing > 0
-            newest = await harness.connect()
-            assert (await newest.exchange(make_request()))[0] == 200
-            # Another connection closes after its response, since many are idle: the newest one.
-            assert len(table.in_state(ConnectionState.CLOSING)) == closing
+            closing_count = len(table.in_state(ConnectionState.CLOSING))
+            assert closing_count > 0
+            new_client = await harness.connect()
+            assert (await new_client.exchange(make_request()))[0] == 200
+            # One of them was evicted, and the new connection closes after its response as many are idle.
+            assert len(table.in_state(ConnectionState.CLOSING)) == closing_count
             assert (await clients[0].exchange(make_request()))[0] == 200
             assert len(table) == table.limit
 
     run(test())
 
 
-def test_connections_without_any_request_are_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_without_any_request_is_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def test() -> None:
         async with running_node(await UpstreamStub().start(), max_descriptors=96) as harness:
-            regular = await harness.connect()
-            assert (await regular.exchange(make_request()))[0] == 200
+            regular_client = await harness.connect()
+            assert (await regular_client.exchange(make_request()))[0] == 200
             table = harness.node.listener.connections
             limit = table.limit
-            silent = [await harness.connect() for _ in range(limit - 1)]
+            silent_clients = [await harness.connect() for _ in range(limit - 1)]
             while len(table.in_state(ConnectionState.CONNECTED)) < limit - 1:
                 await asyncio.sleep(0)
-            newest = await harness.connect()
-            assert (await newest.exchange(make_request()))[0] == 200
-            assert await silent[0].read_to_end() == b""
-            assert (await regular.exchange(make_request()))[0] == 200
+            new_client = await harness.connect()
+            assert (await new_client.exchange(make_request()))[0] == 200
+            assert await silent_clients[0].read_to_end() == b""
+            assert (await regular_client.exchange(make_request()))[0] == 200
             assert len(harness.node.listener.connections) == limit
 
     run(test())
 
 
-def test_connections_with_incomplete_request_are_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    # 50 requests of regular clients were not accepted while 200 others had sent a part of their headers each.
+def test_connection_with_an_incomplete_request_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+    # 200 clients that had each sent only a part of their headers used up the limit: 50 requests of regular
+    # clients were not accepted.
     monkeypatch.setattr(eviction, "SLOW_REQUEST_AGE_S", 0.0)
 
     async def test() -> None:
         async with running_node(await UpstreamStub().start(), max_descriptors=96) as harness:
             table = harness.node.listener.connections
             limit = table.limit
-            slow = [await harness.connect() for _ in range(limit)]
-            for client in slow:
+            slow_clients = [await harness.connect() for _ in range(limit)]
+            for client in slow_clients:
                 client.writer.write(b"GET /find/1 HTTP/1.1\r\n")
             while len(table.in_state(ConnectionState.RECEIVING)) < limit:
                 await asyncio.sleep(0)
