--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -1,4 +1,4 @@
-"""Parsing and validation of client requests, over sockets."""
+"""Parsing and validation of client requests that a node receives over sockets."""
 
 from __future__ import annotations
 
@@ -40,45 +40,52 @@
 ]
 
 
-LENGTH, CHUNKED, LAST = b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n", b"0\r\n\r\n"
+LENGTH_LINE = b"Content-Length: 5\r\n"
+CHUNKED_LINE = b"Transfer-Encoding: chunked\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
-def framed(*lines: bytes, body: bytes = LAST) -> bytes:
-    """A request whose framing is these lines."""
+def framed_request(*lines: bytes, body: bytes = LAST_CHUNK) -> bytes:
+    """Return a request whose framing headers are ``lines``, each ending in CRLF."""
     return make_request("pay").replace(b"Content-Length: 0\r\n", b"".join(lines)) + body
 
 
-# Framing that the node and an endpoint could read differently would allow request smuggling.
+# Framing that the node and an endpoint could interpret differently would allow request smuggling.
 INVALID_INPUT += [
-    (framed(LENGTH, CHUNKED), 400),
-    (framed(CHUNKED, LENGTH), 400),
-    (framed(LENGTH, LENGTH, body=b"12345"), 400),
-    (framed(LENGTH, b"Content-Length: 6\r\n", body=b"123456"), 400),
-    (framed(b"Content-Length: 5, 5\r\n", body=b"12345"), 400),
-    (framed(b"Content-Length: -5\r\n"), 400),
-    (framed(b"Content-Length: +5\r\n", body=b"12345"), 400),
-    (framed(b"Content-Length: 0x5\r\n", body=b"12345"), 400),
-    (framed(b"Content-Length: 5 5\r\n", body=b"12345"), 400),
-    (framed(b"Content-Length:\r\n"), 400),
-    (framed(b"Content-Length: 3221225472\r\n"), 413),
-    (framed(b"Content-Length: 18446744073709551621\r\n"), 400),
-    (framed(b"Content-Length : 5\r\n", body=b"12345"), 400),
-    (framed(b"Content-Length\r\n : 5\r\n", body=b"12345"), 400),
-    (framed(CHUNKED, CHUNKED), 400),
-    (framed(b"Transfer-Encoding: chunked, identity\r\n"), 400),
-    (framed(b"Transfer-Encoding: xchunked\r\n"), 400),
-    (framed(b"Transfer-Encoding: gzip, chunked\r\n"), 400),
-    (framed(b"Transfer-Encoding: identity\r\n"), 400),
-    (framed(b"Transfer-Encoding : chunked\r\n"), 400),
-    (framed(b"Transfer-Encoding:\r\n chunked\r\n"), 400),
-    (framed(CHUNKED, body=b"-1\r\n\r\n" + LAST), 400),
-    (framed(CHUNKED, body=b"+5\r\n12345\r\n" + LAST), 400),
-    (framed(CHUNKED, body=b"0x5\r\n12345\r\n" + LAST), 400),
-    (framed(CHUNKED, body=b"5\r\n123456\r\n" + LAST), 400),
-    (framed(CHUNKED, body=b"5\n12345\n0\n\n"), 400),
-    (framed(CHUNKED, body=b"1" * 40 + b"\r\n"), 400),
-    (framed(LENGTH, body=b"12345").replace(b"HTTP/1.1", b"HTTP/1.0").replace(LENGTH, LENGTH + CHUNKED), 400),
-    (framed(CHUNKED).replace(b"HTTP/1.1", b"HTTP/1.0"), 400),
+    (framed_request(LENGTH_LINE, CHUNKED_LINE), 400),
+    (framed_request(CHUNKED_LINE, LENGTH_LINE), 400),
+    (framed_request(LENGTH_LINE, LENGTH_LINE, body=b"12345"), 400),
+    (framed_request(LENGTH_LINE, b"Content-Length: 6\r\n", body=b"123456"), 400),
+    (framed_request(b"Content-Length: 5, 5\r\n", body=b"12345"), 400),
+    (framed_request(b"Content-Length: -5\r\n"), 400),
+    (framed_request(b"Content-Length: +5\r\n", body=b"12345"), 400),
+    (framed_request(b"Content-Length: 0x5\r\n", body=b"12345"), 400),
+    (framed_request(b"Content-Length: 5 5\r\n", body=b"12345"), 400),
+    (framed_request(b"Content-Length:\r\n"), 400),
+    (framed_request(b"Content-Length: 3221225472\r\n"), 413),
+    (framed_request(b"Content-Length: 18446744073709551621\r\n"), 400),
+    (framed_request(b"Content-Length : 5\r\n", body=b"12345"), 400),
+    (framed_request(b"Content-Length\r\n : 5\r\n", body=b"12345"), 400),
+    (framed_request(CHUNKED_LINE, CHUNKED_LINE), 400),
+    (framed_request(b"Transfer-Encoding: chunked, identity\r\n"), 400),
+    (framed_request(b"Transfer-Encoding: xchunked\r\n"), 400),
+    (framed_request(b"Transfer-Encoding: gzip, chunked\r\n"), 400),
+    (framed_request(b"Transfer-Encoding: identity\r\n"), 400),
+    (framed_request(b"Transfer-Encoding : chunked\r\n"), 400),
+    (framed_request(b"Transfer-Encoding:\r\n chunked\r\n"), 400),
+    (framed_request(CHUNKED_LINE, body=b"-1\r\n\r\n" + LAST_CHUNK), 400),
+    (framed_request(CHUNKED_LINE, body=b"+5\r\n12345\r\n" + LAST_CHUNK), 400),
+    (framed_request(CHUNKED_LINE, body=b"0x5\r\n12345\r\n" + LAST_CHUNK), 400),
+    (framed_request(CHUNKED_LINE, body=b"5\r\n123456\r\n" + LAST_CHUNK), 400),
+    (framed_request(CHUNKED_LINE, body=b"5\n12345\n0\n\n"), 400),
+    (framed_request(CHUNKED_LINE, body=b"1" * 40 + b"\r\n"), 400),
+    (
+        framed_request(LENGTH_LINE, body=b"12345")
+        .replace(b"HTTP/1.1", b"HTTP/1.0")
+        .replace(LENGTH_LINE, LENGTH_LINE + CHUNKED_LINE),
+        400,
+    ),
+    (framed_request(CHUNKED_LINE).replace(b"HTTP/1.1", b"HTTP/1.0"), 400),
     (make_request(X="a\r\n b"), 400),
     (make_request(X="a\rb"), 400),
     (make_request(X="a\nContent-Length: 5"), 400),
@@ -95,29 +102,34 @@
 @pytest.mark.parametrize(("data", "status"), INVALID_INPUT, ids=range(len(INVALID_INPUT)))
 def test_invalid_input_gets_error_response_and_is_not_forwarded(data: bytes, status: int) -> None:
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream) as harness:
             client = await harness.connect()
-            # What follows on the connection is not parsed: it may be a part of the invalid input.
-            got, head, _ = await client.exchange(data + make_request())
-            assert (got, header(head, b"Connection")) == (status, b"close")
+            # Data that follows invalid input must not be parsed, as it may be a part of it.
+            received_status, head, _ = await client.exchange(data + make_request())
+            assert (received_status, header(head, b"Connection")) == (status, b"close")
             assert await client.read_to_end() == b""
             assert (await (await harness.connect()).exchange(make_request()))[0] == 200
-            assert peer.requests.qsize() == 1 and not harness.node.listener.connections.open_request_ids
+            assert upstream.requests.qsize() == 1 and not harness.node.listener.connections.open_request_ids
 
     run(test())
 
 
-def test_trailers_are_not_read_as_headers() -> None:
+def test_trailers_are_not_taken_for_headers() -> None:
+    # httptools reports trailers in the same way as headers, so a trailer could set the tenant.
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer) as harness:
-            data = framed(CHUNKED, body=b"4\r\nride\r\n0\r\nRequest-Id: other\r\nTenant: acme\r\n\r\n")
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream) as harness:
+            data = framed_request(
+                CHUNKED_LINE, body=b"4\r\nride\r\n0\r\nRequest-Id: other\r\nTenant: acme\r\n\r\n"
+            )
             assert (await (await harness.connect()).exchange(data))[0] == 200
-            got = await peer.requests.get()
-            assert b"other" not in got and b"acme" not in got and got.endswith(b"\r\n\r\nride")
+            forwarded = await upstream.requests.get()
+            assert (
+                b"other" not in forwarded and b"acme" not in forwarded and forwarded.endswith(b"\r\n\r\nride")
+            )
             client = await harness.connect()
-            client.writer.write(framed(CHUNKED, body=b"0\r\n" + b"X: " + b"y" * 400_000))
+            client.writer.write(framed_request(CHUNKED_LINE, body=b"0\r\n" + b"X: " + b"y" * 400_000))
             assert (await client.receive())[0] in (413, 431)
 
     run(test())
@@ -128,16 +140,16 @@
                                       b"Content-Length: 3", b"Request-Id: 1", b"\x00", b"a", b"Upgrade: x",
                                       b"Connection: upgrade", b"Transfer-Encoding: chunked"])
                      | st.binary(max_size=20), max_size=30).map(b"".join))  # fmt: skip
-def test_arbitrary_input_does_not_break_node(data: bytes) -> None:
+def test_arbitrary_input_does_not_break_the_node(data: bytes) -> None:
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(data)
             client.writer.write_eof()
-            with suppress(ConnectionError):  # a reset is as good an end
+            with suppress(ConnectionError):  # the node may also reset the connection
                 await client.read_to_end()
-            assert peer.requests.empty()
+            assert upstream.requests.empty()
             assert (await (await harness.connect()).exchange(make_request()))[0] == 200
             assert not harness.node.requests.pending
 
@@ -145,17 +157,17 @@
 
 
 @settings(max_examples=20, derandomize=True, database=None, deadline=None)
-@given(cuts=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
-def test_request_may_arrive_in_pieces(cuts: list[int]) -> None:
+@given(split_offsets=st.lists(st.integers(min_value=1, max_value=200), max_size=8))
+def test_request_split_at_arbitrary_offsets_is_parsed(split_offsets: list[int]) -> None:
     async def test() -> None:
-        peer = await UpstreamStub().start()
-        async with running_node(peer) as harness:
+        upstream = await UpstreamStub().start()
+        async with running_node(upstream) as harness:
             client, data = await harness.connect(), make_request("book", body=b"x" * 40)
-            places = [0, *sorted(cuts), len(data)]
-            for start, end in pairwise(places):
+            offsets = [0, *sorted(split_offsets), len(data)]
+            for start, end in pairwise(offsets):
                 client.writer.write(data[start:end])
                 await asyncio.sleep(0)
             assert (await client.receive())[0] == 200
-            assert (await peer.requests.get()).endswith(b"x" * 40)
+            assert (await upstream.requests.get()).endswith(b"x" * 40)
 
     run(test())
