--- a/tests/proxy/test_request_tracker.py
+++ b/tests/proxy/test_request_tracker.py
@@ -1,4 +1,4 @@
-"""What the policy and the upstreams get of a request."""
+"""What the node passes on of a client's request: to the policy and to the upstream."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.proxy.stubs import UpstreamStub, header, make_request
 
 
-def test_policy_gets_class_tenant_key_hint_and_retry_mark_of_a_request() -> None:
+def test_policy_gets_class_tenant_key_cost_hint_and_retry_flag_of_a_request() -> None:
     async def test() -> None:
         async with running_node(await UpstreamStub().start(), tenants={b"acme": 0, b"ajax": 1}) as harness:
             client = await harness.connect()
@@ -28,7 +28,7 @@
     run(test())
 
 
-def test_attempt_timeout_leaves_a_margin_for_the_response() -> None:
+def test_forwarded_timeout_leaves_a_margin_for_the_response() -> None:
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
@@ -39,19 +39,20 @@
     run(test())
 
 
-def test_margin_of_a_short_timeout_is_a_small_share_of_it() -> None:
-    # With 30 ms for each, nearly all requests of clients that waited 30 to 60 ms were rejected (inc2771).
+def test_response_margin_is_limited_to_a_share_of_the_timeout() -> None:
+    # With a margin of 30 ms regardless of the timeout, nearly all requests of clients with timeouts of 30 to
+    # 60 ms were rejected (incident inc2771).
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
-            client, before = await harness.connect(), now_ms()
+            client, sent_at = await harness.connect(), now_ms()
             await client.exchange(make_request(timeout="50m"))
             event = await harness.next_event(RequestArrived)
-            assert before + 45.0 <= event.deadline < now_ms() + 50.0
+            assert sent_at + 45.0 <= event.deadline < now_ms() + 50.0
 
     run(test())
 
 
-def test_request_with_too_little_time_is_rejected_at_once() -> None:
+def test_request_with_too_short_a_timeout_is_rejected_immediately() -> None:
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
