--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""Requests that cross the close of an idle connection, of the listener or of the node."""
+"""Requests that arrive just before an idle connection, the listener or the node is closed."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
 
 
 def evict(listener: Listener) -> None:
+    """Evict a connection as if the limit were reached."""
     listener.evictor.evict()
 
 
@@ -27,6 +28,7 @@
 def test_unread_request_on_an_idle_connection_is_served(
     close: Callable[[Listener], Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    # Closing a connection that has an unread request would lose the request.
     monkeypatch.setattr(listener_module, "KEEP_ALIVE_TIMEOUT_S", 0.0)
 
     async def test() -> None:
@@ -35,28 +37,30 @@
             client = await harness.connect()
             assert (await client.exchange(make_request()))[0] == 200
             os.write(client.writer.get_extra_info("socket").fileno(), make_request())
-            close(harness.node.listener)  # before the loop reads
+            close(harness.node.listener)  # before the event loop reads the request
             assert (await client.receive())[0] == 200
 
     run(test())
 
 
 def test_connection_in_the_accept_backlog_is_served_when_the_listener_stops() -> None:
+    # Closing a listening socket resets the connections that are left in its backlog.
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             harness.node.shutting_down = True
-            waiting = connect_raw(harness)
-            waiting.sendall(make_request())
+            client_socket = connect_raw(harness)
+            client_socket.sendall(make_request())
             harness.node.listener.stop_accepting()
-            client = RawClient(*await asyncio.open_connection(sock=waiting))
+            client = RawClient(*await asyncio.open_connection(sock=client_socket))
             assert (await client.receive())[0] == 200
 
     run(test())
 
 
-def test_request_late_in_a_graceful_shutdown_gets_a_response_before_the_kill(
+def test_request_late_in_a_graceful_shutdown_gets_a_response_before_sigkill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    # Unless its deadline is limited, the request is still in flight at SIGKILL.
     monkeypatch.setattr(graceful_shutdown, "SIGKILL_DELAY_MS", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SIGKILL_MAX_DEADLINE_MS", 2000.0)
 
@@ -72,8 +76,9 @@
             await wait_until(lambda: harness.node.shutting_down)
             client.writer.write(data[40:])
             forwarded = await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
-            remaining = header(forwarded, b"Request-Timeout")
-            assert remaining is not None and int(remaining[:-1]) <= 1900
+            forwarded_timeout = header(forwarded, b"Request-Timeout")
+            # SIGKILL_MAX_DEADLINE_MS less SIGKILL_MARGIN_MS
+            assert forwarded_timeout is not None and int(forwarded_timeout[:-1]) <= 1900
             client.writer.close()
             await shutdown
 
@@ -94,7 +99,7 @@
                 lambda: bool(harness.node.listener.connections.in_state(ConnectionState.RECEIVING))
             )
             shutdown = asyncio.ensure_future(harness.node.shut_down())
-            await asyncio.sleep(1.0)  # half of the shutdown is left, and the request takes longer
+            await asyncio.sleep(1.0)  # the request's timeout is now longer than the rest of the shutdown
             client.writer.write(data[40:])
             await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             await shutdown
