--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -1,4 +1,4 @@
-"""A node over loopback sockets: what it forwards, retries and cancels."""
+"""Requests through a node over loopback sockets: forwarding, retries and cancellation."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
-        typed = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
-        upstream = await UpstreamStub(respond_with(typed)).start()
+        response_with_type = OK.replace(b"\r\n\r\n", b"\r\nContent-Type: x/y\r\n\r\n")
+        upstream = await UpstreamStub(respond_with(response_with_type)).start()
         async with running_node(upstream) as harness:
             client = await harness.connect()
             data = make_request("book", body=b"\x00ride", Tenant="acme").replace(b"/cab7", b"/cab7?a=1&b=%20")
@@ -39,7 +39,8 @@
     run(test())
 
 
-def test_not_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() -> None:
+def test_not_idempotent_request_that_may_have_run_is_not_retried_and_gets_502() -> None:
+    # A retry, or a client's repeat after 503, could execute the request twice.
     async def test() -> None:
         upstreams = [
             await UpstreamStub(reset_connection).start(),
@@ -53,7 +54,7 @@
     run(test())
 
 
-def test_client_disconnect_releases_all_resources() -> None:
+def test_client_disconnect_cancels_the_attempt_and_releases_all_resources() -> None:
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
         async with running_node(upstream) as harness:
@@ -80,8 +81,8 @@
             harness.node.requests.respond(harness.node.requests.last_request_id, 502)
             harness.node.pool.cancel(harness.node.requests.last_request_id, 0)
             assert (await client.receive())[0] == 502
-            ended = await harness.next_attempt_end()
-            assert ended.request_over and ended.result == AttemptResult.CANCELLED
+            attempt_end = await harness.next_attempt_end()
+            assert attempt_end.request_over and attempt_end.result == AttemptResult.CANCELLED
 
     run(test())
 
@@ -93,7 +94,8 @@
             await UpstreamStub(reset_connection).start(),
         ]
         async with running_node(*upstreams, attempt_limit=4) as harness:
-            harness.node.policy._retries._random.random = lambda: 0.99  # type: ignore[method-assign]  # no draw ends it
+            # Whether to retry is drawn at random, depending on the overload; a draw of 0.99 allows the retry.
+            harness.node.policy._retries._random.random = lambda: 0.99  # type: ignore[method-assign]
             data = make_request("book")
             assert (await (await harness.connect()).exchange(data))[0] == 503
             for upstream in upstreams:
