--- a/tests/proxy/test_node_events.py
+++ b/tests/proxy/test_node_events.py
@@ -1,4 +1,4 @@
-"""How the node passes events to the policy and carries out its commands."""
+"""How the node passes events to the policy and executes the policy's commands."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class InjectedFaultError(Exception):
-    """Raised by a policy that is made to fail."""
+    """Raised by a policy that a test causes to fail."""
 
 
-def test_request_on_which_the_policy_failed_is_over_for_the_policy_too() -> None:
+def test_request_is_removed_from_the_policy_after_an_exception_in_the_policy() -> None:
+    # The policy would otherwise keep the request as in flight, and could still send an attempt for it.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
@@ -37,7 +38,7 @@
     run(test())
 
 
-def test_failing_command_does_not_stop_the_next_one() -> None:
+def test_failing_command_does_not_prevent_the_next_one() -> None:
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
         async with running_node(upstream) as harness:
@@ -46,6 +47,7 @@
             await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             policy, pending_id = harness.node.policy, harness.node.requests.last_request_id
             handle = policy.handle
+            # The first command fails, as there is no request 77.
             commands: list[Command] = [SendAttempt(77, 1, 0.0), RejectRequest(pending_id, 0.0)]
             policy.handle = lambda now, event: commands  # type: ignore[method-assign]
             harness.node.policy_runner.submit(TimerFired(77))
@@ -57,6 +59,7 @@
 
 
 def test_attempt_ended_precedes_the_arrival_of_the_next_pipelined_request() -> None:
+    # In the other order, the policy would still count the ended attempt as in flight.
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             client = await harness.connect()
