--- a/tests/proxy/test_process.py
+++ b/tests/proxy/test_process.py
@@ -1,4 +1,4 @@
-"""The node as a process: its start, its configuration and its limits."""
+"""The node as a process: start, configuration and the limit on file descriptors."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "expected_text"),
     [
         ({"listen": "127.0.0.1"}, "is not a host:port address"),
         ({"seed": "xyz"}, "xyz"),
@@ -33,19 +33,21 @@
         ("[]", "list"),
     ],
 )
-def test_invalid_configuration_exits_with_one_line(tmp_path: Path, change: Any, words: str) -> None:
+def test_invalid_configuration_exits_with_a_one_line_message(
+    tmp_path: Path, change: Any, expected_text: str
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(change if isinstance(change, str) else json.dumps(make_config_content() | (change or {})))
     environ = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
     if change is not None:
         environ["ROUTER_CONFIG"] = str(path)
-    done = subprocess.run(NODE_COMMAND, env=environ, capture_output=True, text=True, check=False)
-    assert (done.returncode, done.stdout) == (2, "")
-    assert words in done.stderr and done.stderr.count("\n") == 1
+    result = subprocess.run(NODE_COMMAND, env=environ, capture_output=True, text=True, check=False)
+    assert (result.returncode, result.stdout) == (2, "")
+    assert expected_text in result.stderr and result.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    ("known", "endpoints"),
+    ("cached_list", "endpoint_count"),
     [
         ({"generation": 4, "reset": True, "instances": [discovery_entry(1), discovery_entry(2)]}, 2),
         ({"generation": 4, "reset": True, "instances": []}, None),
@@ -54,41 +56,43 @@
     ],
 )
 def test_cached_endpoint_list_is_read_separately_from_the_settings(
-    tmp_path: Path, known: Any, endpoints: int | None
+    tmp_path: Path, cached_list: Any, endpoint_count: int | None
 ) -> None:
     path = tmp_path / "config.json"
+    # A nested field named "known" is not the cached list.
     path.write_text(
-        json.dumps({"known": known} | make_config_content() | {"other": {"known": {"instances": 7}}})
+        json.dumps({"known": cached_list} | make_config_content() | {"other": {"known": {"instances": 7}}})
     )
     config = read_config({"ROUTER_CONFIG": str(path)})
     assert config.settings.classes[0].latency_objective == 5000.0
     builder = UpdateBuilder(lambda name: int(name[2:], 16), lambda name: 0, {}, AddressTable(), 9)
     update = config.load_cached_endpoints(builder) if config.load_cached_endpoints else None
-    assert (update and (update.version, len(update.rows))) == (endpoints and (4, endpoints))
+    assert (update and (update.version, len(update.rows))) == (endpoint_count and (4, endpoint_count))
 
 
-def test_discovery_and_upstreams_stay_reachable_while_idle_clients_fill_the_descriptors(
+def test_discovery_and_upstreams_stay_reachable_while_idle_clients_use_up_the_descriptors(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        old, new = await UpstreamStub().start(), await UpstreamStub().start()
-        discovery = await DiscoveryStub([old.entry()]).start()
+        old_upstream, new_upstream = await UpstreamStub().start(), await UpstreamStub().start()
+        discovery = await DiscoveryStub([old_upstream.entry()]).start()
         async with running_node_process(
             tmp_path / "config.json", discovery.port, max_descriptors=128
         ) as node:
             while "watch" not in await asyncio.wait_for(discovery.targets.get(), TIMEOUT_S):
                 pass
-            discovery.server.close()  # discovery is down, and the open watch ends with it
+            # Discovery becomes unavailable: it rejects connections and closes the open watch.
+            discovery.server.close()
             discovery.watch_lines.put_nowait(None)
             await node.next_line("discovery at .*: ")
-            idle = [await node.connect() for _ in range(200)]
+            idle_clients = [await node.connect() for _ in range(200)]
             discovery.server = await asyncio.start_server(discovery.serve, "127.0.0.1", discovery.port)
-            discovery.push(2, [old.entry(lifecycle="leaving"), new.entry("s-2")])
+            discovery.push(2, [old_upstream.entry(lifecycle="leaving"), new_upstream.entry("s-2")])
             await node.next_line("endpoint list version 2 ")
             client = await node.connect()
             assert (await client.exchange(make_request()))[0] == 200
-            assert new.requests.qsize() == 1 and old.requests.empty()
-            for one in idle:
-                one.writer.close()
+            assert new_upstream.requests.qsize() == 1 and old_upstream.requests.empty()
+            for idle_client in idle_clients:
+                idle_client.writer.close()
 
     uvloop.run(test())
