--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -16,7 +16,7 @@
 from load_balancer.proxy.discovery_client import MAX_STALE_SNAPSHOTS
 from load_balancer.proxy.stable_id import stable_id
 from tests.proxy.harness import make_config, run, running_node
-from tests.proxy.stubs import WAIT, DiscoveryStub, UpstreamStub, make_request
+from tests.proxy.stubs import TIMEOUT_S, DiscoveryStub, UpstreamStub, make_request
 
 
 @pytest.mark.parametrize(
@@ -37,12 +37,12 @@
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
-            client, calls = await harness.connect(), harness.discovery.calls
+            client, calls = await harness.connect(), harness.discovery.targets
             assert await calls.get() == "/catalog/members?watch=1&from=1"
-            harness.discovery.lines.put_nowait(line + b"\n")
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
+            harness.discovery.watch_lines.put_nowait(line + b"\n")
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members"
             assert (await client.exchange(make_request()))[0] == 200
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
 
     run(test())
 
@@ -51,11 +51,11 @@
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
-            calls = harness.discovery.calls
+            calls = harness.discovery.targets
             assert await calls.get() == "/catalog/members?watch=1&from=1"
             harness.discovery.push(5, [upstream.entry("s-1", "leaving")])
-            harness.discovery.lines.put_nowait(None)
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=5"
+            harness.discovery.watch_lines.put_nowait(None)
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=5"
             assert harness.node.find_target(stable_id(b"s-1")).state is EndpointState.DRAINING
 
     run(test())
@@ -69,7 +69,7 @@
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             for _ in range(3):
-                call = await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
+                call = await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S)
                 assert call == "/catalog/members?watch=1&from=1"
             assert harness.node.healthy and harness.endpoint_ids() == {stable_id(b"s-1")}
 
@@ -86,7 +86,7 @@
     async def respond_slowly_without_end(
         self: DiscoveryStub, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.calls.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
+        self.targets.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while not writer.transport.is_closing():
             writer.write(b"1\r\n \r\n")
@@ -97,8 +97,8 @@
     async def test() -> None:
         config_changes = {} if has_cached_list else {"load_cached_endpoints": None}
         async with running_node(await UpstreamStub().start(), **config_changes) as harness:
-            first_call = await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
-            assert await asyncio.wait_for(harness.discovery.calls.get(), WAIT) == first_call
+            first_call = await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S)
+            assert await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S) == first_call
 
     run(test())
 
@@ -122,10 +122,10 @@
         upstream = await UpstreamStub().start()
         settings = replace(make_config(1).settings, endpoints_are_polled=is_polled)
         async with running_node(upstream, settings=settings, drain_grace=500.0) as harness:
-            await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
+            await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S)
             harness.discovery.server.close()  # refuses new connections
-            harness.discovery.lines.put_nowait(None)  # ends the watch
-            async with asyncio.timeout(WAIT):
+            harness.discovery.watch_lines.put_nowait(None)  # ends the watch
+            async with asyncio.timeout(TIMEOUT_S):
                 while len(delays) < 40:
                     await sleep(0)
         assert max_delay / 2 < max(delays) <= max_delay
@@ -147,12 +147,12 @@
 
 def test_watch_without_response_times_out_before_the_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "FIRST_BYTE_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 4 * WAIT)
+    monkeypatch.setattr(discovery, "WATCH_IDLE_TIMEOUT_S", 4 * TIMEOUT_S)
 
     async def read_without_responding(
         self: DiscoveryStub, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.calls.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
+        self.targets.put_nowait((await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode())
         await reader.read()
 
     monkeypatch.setattr(DiscoveryStub, "serve", read_without_responding)
@@ -160,7 +160,7 @@
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             for _ in range(3):
-                assert "watch" in await asyncio.wait_for(harness.discovery.calls.get(), WAIT)
+                assert "watch" in await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S)
 
     run(test())
 
@@ -170,7 +170,7 @@
         async with running_node(await UpstreamStub().start()) as harness:
             discovery = harness.node.discovery
             while not discovery.is_failing:
-                harness.discovery.lines.put_nowait(None)
+                harness.discovery.watch_lines.put_nowait(None)
                 await asyncio.sleep(0)
             unavailable = await harness.next_event(EndpointUpdate)
             assert (unavailable.kind, unavailable.endpoints) == (
@@ -191,7 +191,7 @@
 
     async def keep_writer(self: DiscoveryStub, writer: asyncio.StreamWriter) -> None:
         writers.append(writer)
-        self.calls.put_nowait("watch opened")
+        self.targets.put_nowait("watch opened")
 
     monkeypatch.setattr(DiscoveryStub, "write_lines", keep_writer)
 
@@ -203,7 +203,7 @@
         upstream = await UpstreamStub().start()
         new_discovery = await DiscoveryStub([upstream.entry("s-2")], 9).start()
         async with running_node(upstream) as harness:
-            while await asyncio.wait_for(harness.discovery.calls.get(), WAIT) != "watch opened":
+            while await asyncio.wait_for(harness.discovery.targets.get(), TIMEOUT_S) != "watch opened":
                 pass
             writers[0].write(delta_chunk(2, upstream.entry("s-3")))
             while (await harness.next_event(EndpointUpdate)).version != 2:
@@ -211,7 +211,7 @@
             # Both steps without a loop iteration between them, in which the line would be read.
             os.write(writers[0].get_extra_info("socket").fileno(), delta_chunk(3, upstream.entry("s-4")))
             harness.node.discovery.change_address(("127.0.0.1", new_discovery.port))
-            assert await asyncio.wait_for(new_discovery.calls.get(), WAIT) == "/catalog/members"
+            assert await asyncio.wait_for(new_discovery.targets.get(), TIMEOUT_S) == "/catalog/members"
             assert (await harness.next_event(EndpointUpdate)).version == 9
             assert harness.endpoint_ids() == {stable_id(b"s-2")}
 
@@ -231,10 +231,12 @@
 
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(TIMEOUT_S):
                 while len(delays) < 12:
-                    harness.discovery.lines.put_nowait(b'{"generation":2,"reset":false,"instances":[{}]}\n')
-                    await harness.discovery.calls.get()
+                    harness.discovery.watch_lines.put_nowait(
+                        b'{"generation":2,"reset":false,"instances":[{}]}\n'
+                    )
+                    await harness.discovery.targets.get()
             assert len(harness.endpoint_ids()) == 1
 
     monkeypatch.setattr(asyncio, "sleep", record_delay)
@@ -252,14 +254,14 @@
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
-            calls = harness.discovery.calls
+            calls = harness.discovery.targets
             harness.discovery.push(9, [upstream.entry("s-2")])
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
             harness.discovery.push(8, [upstream.entry("s-3")])
             for snapshot_number in range(1, MAX_STALE_SNAPSHOTS + 1):  # the stub's snapshot has version 1
-                assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members"
+                assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members"
                 assert snapshot_number == MAX_STALE_SNAPSHOTS or len(harness.endpoint_ids()) == 2
-            assert await asyncio.wait_for(calls.get(), WAIT) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
             assert len(harness.endpoint_ids()) == 1
 
     run(test())
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -18,7 +18,7 @@
 from tests.proxy.harness import run, running_node
 from tests.proxy.stubs import (
     OK,
-    WAIT,
+    TIMEOUT_S,
     Responder,
     UpstreamStub,
     header,
@@ -119,7 +119,7 @@
     async def test() -> None:
         responder = respond_with(b"HTTP/1.1 %d No\r\nContent-Length: 3\r\n\r\nbad" % status)
         upstreams = [await UpstreamStub(responder).start() for _ in range(3)]
-        async with running_node(*upstreams, attempts=4) as harness:
+        async with running_node(*upstreams, attempt_limit=4) as harness:
             response_status, _, body = await (await harness.connect()).exchange(make_request())
             assert (response_status, body) == (status, b"bad")
             assert sum(upstream.requests.qsize() for upstream in upstreams) == 1
@@ -136,7 +136,7 @@
         async with running_node(upstream) as harness:
             # 502 instead of 503, since the request may have run.
             assert (await (await harness.connect()).exchange(make_request("pay")))[0] == 502
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
 
     run(test())
 
@@ -194,7 +194,7 @@
             client = await harness.connect()
             assert (await client.exchange(make_request()))[0] == 200
             responder.writers[0].write(OK.replace(b"done", b"late"))
-            await asyncio.wait_for(upstream.ended.get(), WAIT)
+            await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert not caplog.records  # closed deliberately, not by an exception
             assert (await client.exchange(make_request()))[2] == b"done"
             assert upstream.connections == 2
@@ -210,7 +210,7 @@
         async with running_node(upstream) as harness:
             client = await harness.connect()
             client.writer.write(make_request("find"))
-            await asyncio.wait_for(upstream.requests.get(), WAIT)
+            await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             pool = harness.node.pool
             ((key, attempt),) = pool.attempts.items()
             assert attempt.connection is not None
@@ -244,7 +244,7 @@
                 try:
                     for _ in range(3):
                         assert (await (await harness.connect()).exchange(make_request()))[0] == 200
-                    async with asyncio.timeout(WAIT):
+                    async with asyncio.timeout(TIMEOUT_S):
                         while pool.connections or any(ref() is not None for ref in references):
                             await asyncio.sleep(0.001)
                     assert len(references) == 3
