--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The Python example in the README: it runs and prints the expected line."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import pytest
 
 
-def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text()
-    code = re.search(r"```python\n(.*?)```", text, re.S)
-    assert code
-    exec(compile(code[1], "README.md", "exec"), {})
+def test_example_runs_and_prints_the_chosen_endpoint(capsys: pytest.CaptureFixture[str]) -> None:
+    readme = (Path(__file__).parent.parent / "README.md").read_text()
+    example = re.search(r"```python\n(.*?)```", readme, re.S)
+    assert example
+    exec(compile(example[1], "README.md", "exec"), {})
     assert re.fullmatch(r"request 1 goes to [012], for 400 ms at most\n", capsys.readouterr().out)
