--- a/tests/test_settings_decoder.py
+++ b/tests/test_settings_decoder.py
@@ -1,4 +1,4 @@
-"""Decoding the settings object, and the errors of one that can't be used."""
+"""Decoding of the settings object, and the errors for an invalid one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "word"),
+    ("changes", "message"),
     [
         ({"Classes": []}, "classes"),
         ({"Discovery": "guess"}, "Discovery"),
@@ -21,12 +21,12 @@
         ({"Allowed": {}}, "MaxAttempts"),
     ],
 )
-def test_unusable_settings_raise_an_error_that_names_the_field(change: dict[str, object], word: str) -> None:
-    with pytest.raises(SettingsError, match=word):
-        decode_settings(json.dumps({**SETTINGS, **change}).encode())
+def test_error_for_invalid_settings_names_field_or_value(changes: dict[str, object], message: str) -> None:
+    with pytest.raises(SettingsError, match=message):
+        decode_settings(json.dumps({**SETTINGS, **changes}).encode())
 
 
-def test_the_connect_timeout_is_optional() -> None:
+def test_connect_timeout_is_optional() -> None:
     allowed = {**SETTINGS["Allowed"], "DialTimeout": 200.0}
     assert decode_settings(json.dumps({**SETTINGS, "Allowed": allowed}).encode()).connect_timeout == 200.0
     assert decode_settings(json.dumps(SETTINGS).encode()).connect_timeout == 0.0
