--- a/tests/raw_settings.py
+++ b/tests/raw_settings.py
@@ -1,4 +1,4 @@
-"""A settings object in the form of the protocol, which tests change where they need to."""
+"""A valid settings object with the protocol's names, which tests copy and change."""
 
 from __future__ import annotations
 
@@ -28,5 +28,5 @@
         "KeyRest": 40.0,
     },
     "Tick": 5.0,
-    "NewKey": {"passed": "over"},
+    "UnknownKey": {"is": "ignored"},
 }
