--- a/tests/simulator/test_batch_decoder.py
+++ b/tests/simulator/test_batch_decoder.py
@@ -26,17 +26,17 @@
 from load_balancer.simulator.wire_format import WireError
 from tests.raw_settings import SETTINGS
 from tests.simulator.frames import (
-    CACHED_UPDATE,
-    ENDPOINT_LIST,
-    EVENTS,
-    SELECT_3,
-    batch,
-    instance_started,
+    CACHED_ENDPOINTS_UPDATED,
+    EVENT_BATCH,
+    LIST_BATCH,
+    SELECT_INSTANCE_3,
+    batch_frame,
+    start_record,
 )
 
 
 def test_events_as_printed() -> None:
-    decoded = BatchDecoder().decode(EVENTS)
+    decoded = BatchDecoder().decode(EVENT_BATCH)
     request_id = 0x000464905D3A91C4
     assert (decoded.number, decoded.now) == (12, 8412.25)
     arrived = RequestArrived(request_id, 0, 8652.25, 0x91F03B7C55D20A64, 0, 12.0, False)
@@ -48,7 +48,7 @@
 
 def test_list_as_printed_is_kept_for_later_batches() -> None:
     decoder = BatchDecoder()
-    [group] = decoder.decode(ENDPOINT_LIST).groups
+    [group] = decoder.decode(LIST_BATCH).groups
     [event] = group.events
     assert group.instance == 3
     assert isinstance(event, EndpointUpdate)
@@ -57,14 +57,14 @@
         (0x03124A07, 0, EndpointState.READY, 1.0, 0.0),
         (0x2C9011F2, 1, EndpointState.READY, 1.5, 6100.0),
     ]
-    again = batch(SELECT_3, CACHED_UPDATE, number=2)
+    again = batch_frame(SELECT_INSTANCE_3, CACHED_ENDPOINTS_UPDATED, number=2)
     assert decoder.decode(again).groups == [InstanceEvents(3, [event])]
 
 
 def test_outcome_and_killed() -> None:
     ended = bytes.fromhex("05 000464905d3a91c4 03124a07 01 01 00 4032800000000000 01 3f000000")
     killed = b"\x0a"
-    [group] = BatchDecoder().decode(batch(SELECT_3, ended, killed)).groups
+    [group] = BatchDecoder().decode(batch_frame(SELECT_INSTANCE_3, ended, killed)).groups
     first, second = group.events
     assert first == AttemptEnded(0x000464905D3A91C4, 0x03124A07, True, AttemptResult.SUCCESS, 0, 18.5, (0.5,))
     assert isinstance(second, InstanceKilled)
@@ -72,7 +72,7 @@
 
 def test_start_brings_settings_and_ignores_unknown_keys() -> None:
     text = json.dumps(SETTINGS).encode()
-    [group] = BatchDecoder().decode(batch(SELECT_3, instance_started(9, text), tail=text)).groups
+    [group] = BatchDecoder().decode(batch_frame(SELECT_INSTANCE_3, start_record(9, text), tail=text)).groups
     [event] = group.events
     assert isinstance(event, InstanceStarted)
     assert event.seed == 9
@@ -86,14 +86,14 @@
 @pytest.mark.parametrize(
     ("frame", "word"),
     [
-        (EVENTS[:10], "header"),
-        (EVENTS[:-1], "do not fit into"),
-        (EVENTS[:20] + b"\x63" + bytes(47) + EVENTS[68:], "before any Select"),
-        (EVENTS[:68] + b"\x63" + EVENTS[69:], "unknown event code 99"),
-        (ENDPOINT_LIST[:73] + b"\x00\x00\xff\xff" + ENDPOINT_LIST[77:], "out of range"),
-        (batch(SELECT_3, CACHED_UPDATE), "endpoint list 0 was not sent before"),
+        (EVENT_BATCH[:10], "header"),
+        (EVENT_BATCH[:-1], "do not fit into"),
+        (EVENT_BATCH[:20] + b"\x63" + bytes(47) + EVENT_BATCH[68:], "before any Select"),
+        (EVENT_BATCH[:68] + b"\x63" + EVENT_BATCH[69:], "unknown event code 99"),
+        (LIST_BATCH[:73] + b"\x00\x00\xff\xff" + LIST_BATCH[77:], "out of range"),
+        (batch_frame(SELECT_INSTANCE_3, CACHED_ENDPOINTS_UPDATED), "endpoint list 0 was not sent before"),
         (
-            ENDPOINT_LIST[:164] + ENDPOINT_LIST[164:171] + b"\x00\x00\x09" + ENDPOINT_LIST[174:],
+            LIST_BATCH[:164] + LIST_BATCH[164:171] + b"\x00\x00\x09" + LIST_BATCH[174:],
             "unknown state",
         ),
     ],
@@ -105,6 +105,6 @@
 
 def test_settings_that_cannot_be_read_are_named_with_their_batch() -> None:
     text = b"{no}"
-    frame = batch(SELECT_3, instance_started(9, text), tail=text, number=7)
+    frame = batch_frame(SELECT_INSTANCE_3, start_record(9, text), tail=text, number=7)
     with pytest.raises(WireError, match="batch 7, byte 68: settings: not JSON"):
         BatchDecoder().decode(frame)
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -12,7 +12,7 @@
 from load_balancer.policy.engine import Policy
 from load_balancer.simulator import host
 from tests.raw_settings import SETTINGS
-from tests.simulator.frames import EVENTS, SELECT_3, batch, instance_started
+from tests.simulator.frames import EVENT_BATCH, SELECT_INSTANCE_3, batch_frame, start_record
 
 EMPTY_BATCH = bytes.fromhex("00000001 00000014 40c06e2000000000 00000000")
 
@@ -40,8 +40,8 @@
     [
         (EMPTY_BATCH[:7], b"header"),
         (EMPTY_BATCH[:7] + b"\x02" + EMPTY_BATCH[8:], b"shorter"),
-        (EVENTS[:100], b"ends within"),
-        (EVENTS, b"instance 3 is not running"),
+        (EVENT_BATCH[:100], b"ends within"),
+        (EVENT_BATCH, b"instance 3 is not running"),
     ],
 )
 def test_malformed_input_ends_with_one_line(data: bytes, words: bytes) -> None:
@@ -59,7 +59,7 @@
     monkeypatch.setattr(Policy, "handle", broken)
     text = json.dumps(SETTINGS).encode()
     timer = b"\x07"
-    frame = batch(SELECT_3, instance_started(9, text), timer, tail=text)
+    frame = batch_frame(SELECT_INSTANCE_3, start_record(9, text), timer, tail=text)
     sink = io.BytesIO()
     host.serve(io.BytesIO(frame), sink)
     reply = sink.getvalue()
--- a/tests/simulator/test_reply_encoder.py
+++ b/tests/simulator/test_reply_encoder.py
@@ -13,14 +13,14 @@
     WriteLog,
 )
 from load_balancer.simulator.reply_encoder import ReplyEncoder
-from tests.simulator.frames import REPLY
+from tests.simulator.frames import EVENT_BATCH_REPLY
 
 
 def test_reply_as_printed() -> None:
     reply = ReplyEncoder(12)
     reply.add(3, [SendAttempt(0x000464905D3A91C4, 0x03124A07, 80.0), SetTimer(500.0, 77)])
     reply.add(5, [WriteLog("two servers known")])
-    assert reply.frame() == REPLY
+    assert reply.frame() == EVENT_BATCH_REPLY
     assert ReplyEncoder(1).frame() == bytes.fromhex("00000001 0000000c 00000000")
 
 
