--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -1,4 +1,4 @@
-"""The host as a process: its exit status, its error messages, and its report of a failing policy."""
+"""The simulator host: its exit status, its error messages, and its report of an exception in a policy."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 
 
 def run_host(data: bytes) -> subprocess.CompletedProcess[bytes]:
+    """Run the host on the input until it exits."""
     return subprocess.run(
         [sys.executable, "-B", "-m", "load_balancer.simulator"],
         input=data,
@@ -26,7 +27,7 @@
     )
 
 
-def test_empty_batch_and_end_of_input() -> None:
+def test_empty_batch_gets_empty_reply_and_host_exits_at_end_of_input() -> None:
     result = run_host(EMPTY_BATCH)
     assert (result.returncode, result.stdout, result.stderr) == (
         0,
@@ -36,33 +37,33 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "message"),
     [
         (EMPTY_BATCH[:7], b"header"),
-        (EMPTY_BATCH[:7] + b"\x02" + EMPTY_BATCH[8:], b"shorter"),
+        (EMPTY_BATCH[:7] + b"\x02" + EMPTY_BATCH[8:], b"shorter"),  # a frame length of 2 bytes
         (EVENT_BATCH[:100], b"ends within"),
         (EVENT_BATCH, b"instance 3 is not running"),
     ],
 )
-def test_malformed_input_ends_with_one_line(data: bytes, words: bytes) -> None:
+def test_malformed_input_exits_with_status_2_and_one_error_line(data: bytes, message: bytes) -> None:
     result = run_host(data)
     assert result.returncode == 2
     assert result.stdout == b""
-    assert words in result.stderr
+    assert message in result.stderr
     assert result.stderr.count(b"\n") == 1
 
 
-def test_exception_in_the_policy_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: Policy, now: float, event: object) -> list[object]:
-        raise KeyError("broken on purpose")
+def test_exception_in_the_policy_is_reported_in_the_reply(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(self: Policy, now: float, event: object) -> list[object]:
+        raise KeyError("raised by the test")
 
-    monkeypatch.setattr(Policy, "handle", broken)
-    text = json.dumps(SETTINGS).encode()
-    timer = b"\x07"
-    frame = batch_frame(SELECT_INSTANCE_3, start_record(9, text), timer, tail=text)
+    monkeypatch.setattr(Policy, "handle", raise_error)
+    settings_json = json.dumps(SETTINGS).encode()
+    timer_fired = b"\x07"
+    frame = batch_frame(SELECT_INSTANCE_3, start_record(9, settings_json), timer_fired, tail=settings_json)
     sink = io.BytesIO()
     host.serve(io.BytesIO(frame), sink)
     reply = sink.getvalue()
-    first_command = 12 + 24  # after the header and the record that selects the instance
-    assert reply[first_command] == 12  # the code of Fatal
-    assert b"KeyError: 'broken on purpose'" in reply
+    first_command = 12 + 24  # bytes: the header and the record that selects the instance
+    assert reply[first_command] == 12  # code of Fatal, the report of an exception
+    assert b"KeyError: 'raised by the test'" in reply
