--- a/tests/simulator/test_reply_encoder.py
+++ b/tests/simulator/test_reply_encoder.py
@@ -1,4 +1,4 @@
-"""Replies against the frames printed in the description of the simulator's wire."""
+"""Encoding of replies: the example frame of the simulator's protocol, and each kind of command."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.simulator.frames import EVENT_BATCH_REPLY
 
 
-def test_reply_as_printed() -> None:
+def test_example_reply_and_empty_reply_are_encoded() -> None:
     reply = ReplyEncoder(12)
     reply.add(3, [SendAttempt(0x000464905D3A91C4, 0x03124A07, 80.0), SetTimer(500.0, 77)])
     reply.add(5, [WriteLog("two servers known")])
@@ -24,7 +24,7 @@
     assert ReplyEncoder(1).frame() == bytes.fromhex("00000001 0000000c 00000000")
 
 
-def test_other_commands_as_printed() -> None:
+def test_other_commands_are_encoded() -> None:
     reply = ReplyEncoder(1)
     request_id = 0x000AA5520E6F2B19
     reply.add(
@@ -45,4 +45,4 @@
         "0b2c9011f2" + "00" * 19,
         "0901" + "00" * 22,
     ]
-    assert reply.frame()[12:] == bytes.fromhex("".join(records))
+    assert reply.frame()[12:] == bytes.fromhex("".join(records))  # after the header of 12 bytes
