--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -1,4 +1,4 @@
-"""Endpoints that cache keys: where the ring places a key."""
+"""Key affinity: which endpoints the hash ring maps a key to."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.policy.policy_state import ring_endpoint
 
 
-def test_nodes_agree_on_the_endpoints_of_a_key() -> None:
-    used = []
+def test_nodes_send_most_keys_to_the_same_endpoint() -> None:
+    endpoint_ids = []
     for seed in (1, 2):
         driver = PolicyDriver(
             settings(endpoints_cache_keys=True, classes=(NOT_IDEMPOTENT,)), seed=seed, endpoints=40
@@ -16,32 +16,32 @@
         for key in range(1, 400):
             driver.now += 100
             driver.serve(driver.request(key=key * 7919))
-        used.append(sent_to(driver))
-    same = sum(a == b for a, b in zip(*used, strict=True))
-    assert same > 200  # by chance it would be about ten
+        endpoint_ids.append(sent_to(driver))
+    same_count = sum(a == b for a, b in zip(*endpoint_ids, strict=True))
+    assert same_count > 200  # of 399 keys; about 10 would agree by chance
 
 
 def test_hot_key_is_spread_over_several_endpoints() -> None:
     driver = PolicyDriver(settings(endpoints_cache_keys=True, classes=(NOT_IDEMPOTENT,)), endpoints=40)
     for step in range(600):
         driver.now += 10
-        driver.serve(driver.request(key=5 if step % 3 else step + 10))
-    used = [
+        driver.serve(driver.request(key=5 if step % 3 else step + 10))  # two thirds have key 5
+    hot_key_endpoint_ids = [
         command.endpoint_id
         for command in driver.commands
         if isinstance(command, SendAttempt) and driver.requests[command.request_id].key == 5
     ]
-    assert len(set(used)) > 10
+    assert len(set(hot_key_endpoint_ids)) > 10
 
 
-def test_nodes_with_one_subset_place_keys_alike_and_others_elsewhere() -> None:
-    # Nodes that placed keys differently would send an endpoint more keys than it can cache.
-    places = []
-    for node in (0, 1, 23):
+def test_only_nodes_with_the_same_subset_map_keys_alike() -> None:
+    # Nodes of a subset that mapped keys differently would send each endpoint more keys than it can cache.
+    mappings = []
+    for node in (0, 1, 23):  # nodes 0 and 1 share a subset, node 23 has another
         driver = PolicyDriver(
             settings(classes=(IDEMPOTENT,), node_count=24, node_index=node, endpoints_cache_keys=True),
             endpoints=80,
         )
-        places.append([ring_endpoint(driver, key) for key in range(1, 200)])
-    assert places[0] == places[1]
-    assert not set(places[0]) & set(places[2])
+        mappings.append([ring_endpoint(driver, key) for key in range(1, 200)])
+    assert mappings[0] == mappings[1]
+    assert not set(mappings[0]) & set(mappings[2])
