--- a/tests/policy/test_key_sequencing.py
+++ b/tests/policy/test_key_sequencing.py
@@ -1,4 +1,4 @@
-"""Sequential requests of a key: one at a time, in order of arrival."""
+"""Key sequencing: requests with the same key run one at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 
 def sequential_driver(**changes: Any) -> PolicyDriver:
-    """A driver of classes: sequential, sequential and idempotent, not sequential."""
+    """Return a driver with the classes 0: sequential, 1: sequential and idempotent, 2: not sequential."""
     return PolicyDriver(settings(classes=(SEQUENTIAL, SEQUENTIAL_IDEMPOTENT, NOT_IDEMPOTENT), **changes))
 
 
-def test_requests_of_a_key_run_one_at_a_time_in_order() -> None:
+def test_requests_with_a_key_run_one_at_a_time_in_order() -> None:
     driver = sequential_driver()
     queued = [driver.request(step % 2, key=7) for step in range(3)]
     other_key, not_sequential = driver.request(0, key=8), driver.request(2, key=7)
     assert [len(driver.attempts[n]) for n in [*queued, other_key, not_sequential]] == [1, 0, 0, 1, 1]
     driver.serve(queued[0])
     assert [len(driver.attempts[n]) for n in queued] == [1, 1, 0]
-    driver.cancel(queued[2])  # from the end of the queue, before a new one comes
-    last = driver.request(0, key=7)
+    driver.cancel(queued[2])  # the last in the queue; the next request takes its place
+    new_last = driver.request(0, key=7)
     driver.serve(queued[1])
-    assert len(driver.attempts[last]) == 1
+    assert len(driver.attempts[new_last]) == 1
 
 
 def test_requests_without_a_key_do_not_wait() -> None:
@@ -42,7 +42,7 @@
     assert all(driver.attempts[driver.request(0, key=0)] for _ in range(4))
 
 
-def test_next_of_a_key_waits_for_open_attempts_of_a_finished_request() -> None:
+def test_next_request_of_a_key_waits_for_open_attempt_of_cancelled_request() -> None:
     driver = sequential_driver(can_cancel=False)
     first, second = driver.request(0, key=7), driver.request(0, key=7)
     driver.cancel(first)
@@ -52,46 +52,47 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.RESET, AttemptResult.TIMEOUT, AttemptResult.CANCELLED])
-def test_key_has_a_cooldown_after_an_attempt_that_may_still_run(result: AttemptResult) -> None:
+def test_key_is_blocked_for_the_cooldown_after_an_attempt_that_may_still_run(result: AttemptResult) -> None:
     driver = sequential_driver(key_cooldown=120.0)
     first, second = driver.request(0, key=7), driver.request(0, key=7)
     driver.end_attempt(first, 0, result)
     driver.advance(119.0)
     assert not driver.attempts[second]
-    driver.advance(2.0)  # by timer: no other event comes
+    driver.advance(2.0)  # only the timer fires; there is no other event
     assert len(driver.attempts[second]) == 1
 
 
 def test_retries_do_not_wait_for_the_cooldown() -> None:
     driver = sequential_driver(key_cooldown=120.0)
-    number = driver.request(1, key=7)
-    driver.end_attempt(number, 0, AttemptResult.RESET)
-    assert len(driver.attempts[number]) == 2
+    request_id = driver.request(1, key=7)
+    driver.end_attempt(request_id, 0, AttemptResult.RESET)
+    assert len(driver.attempts[request_id]) == 2
 
 
-def test_queued_request_is_answered_by_its_timer() -> None:
+def test_queued_request_is_rejected_when_its_timer_fires() -> None:
     driver = sequential_driver(can_cancel=False)
     first = driver.request(0, key=7)
     queued = driver.request(0, key=7)
     driver.cancel(first)
-    del driver.open_attempts[AttemptId(first, 0)]  # its outcome never comes
+    del driver.open_attempts[AttemptId(first, 0)]  # its result never arrives
     driver.advance(1000.0)
     assert driver.answers[queued] == Answer.REJECTED
 
 
-def test_end_of_a_queue_that_cannot_be_served_in_time_is_rejected_at_once() -> None:
+def test_requests_too_far_back_in_a_queue_are_rejected_at_once() -> None:
     driver = sequential_driver()
-    for _ in range(200):  # answers take 100 ms
+    for _ in range(200):  # the policy learns a latency of 100 ms
         driver.now += 200
         driver.serve(driver.request(2), 100.0)
         driver.serve(driver.request(0, key=9), 100.0)
-    numbers = [driver.request(0, key=7) for _ in range(30)]
-    rejected = [n for n in numbers if driver.answers.get(n) == Answer.REJECTED]
+    # At 100 ms each, no more than 9 of the 30 requests can be served within their deadline of 900 ms.
+    request_ids = [driver.request(0, key=7) for _ in range(30)]
+    rejected = [n for n in request_ids if driver.answers.get(n) == Answer.REJECTED]
     assert 20 < len(rejected) < 29
-    assert rejected == numbers[-len(rejected) :]
+    assert rejected == request_ids[-len(rejected) :]
 
 
-def test_finished_keys_are_forgotten() -> None:
+def test_state_of_keys_without_requests_is_dropped() -> None:
     driver = sequential_driver()
     for key in range(1, 300):
         driver.serve(driver.request(0, key=key))
@@ -99,10 +100,10 @@
     assert tracked_keys(driver) < 150
 
 
-def test_restarted_node_knows_nothing_of_earlier_requests() -> None:
+def test_restarted_node_has_no_state_of_earlier_requests() -> None:
     driver = sequential_driver()
     driver.request(0, key=7)
-    again = sequential_driver()
-    number = again.request(0, key=7)
-    assert len(again.attempts[number]) == 1
-    assert again.policy.handle(again.now, RequestCancelled(99)) == []
+    restarted = sequential_driver()
+    request_id = restarted.request(0, key=7)
+    assert len(restarted.attempts[request_id]) == 1
+    assert restarted.policy.handle(restarted.now, RequestCancelled(99)) == []
