--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -1,4 +1,4 @@
-"""Outliers: endpoints that fail more than others, or stall, are ejected for a while."""
+"""Outlier detection: endpoints that fail more often than others, or stall, get no attempts for a while."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     typical_answer_times,
 )
 
-PATIENT = replace(NOT_IDEMPOTENT, latency_objective=5000.0, deadline=6000.0)
+LONG_DEADLINE = replace(NOT_IDEMPOTENT, latency_objective=5000.0, deadline=6000.0)
 
 
-def test_failing_endpoint_is_ejected_and_returns() -> None:
+def test_failing_endpoint_is_ejected_and_used_again_after_it_recovers() -> None:
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,)), endpoints=4)
     failures = 0
     for _ in range(400):
         driver.now += 5
-        number = driver.request()
+        request_id = driver.request()
         failing = sent_to(driver)[-1] == 0
         failures += failing
-        driver.end_attempt(number, 0, AttemptResult.ERROR if failing else AttemptResult.SUCCESS)
+        driver.end_attempt(request_id, 0, AttemptResult.ERROR if failing else AttemptResult.SUCCESS)
     assert failures < 40
     for _ in range(2000):
         driver.now += 10
@@ -37,72 +37,72 @@
 
 
 def test_endpoint_that_rejects_all_attempts_is_ejected() -> None:
-    # It is draining, or its queue is full: its quick answers must not attract traffic.
+    # A draining or full endpoint responds quickly, which must not attract traffic.
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,)), endpoints=4)
     for _ in range(400):
         driver.now += 5
-        number = driver.request()
-        while driver.last_is_open(number):
-            attempt = driver.last_attempt(number)
+        request_id = driver.request()
+        while driver.last_is_open(request_id):
+            attempt = driver.last_attempt(request_id)
             if sent_to(driver)[-1] == 0:
-                driver.end_attempt(number, attempt, AttemptResult.REJECTED, 0.5)
+                driver.end_attempt(request_id, attempt, AttemptResult.REJECTED, 0.5)
             else:
-                driver.end_attempt(number, attempt, AttemptResult.SUCCESS, 50.0)
+                driver.end_attempt(request_id, attempt, AttemptResult.SUCCESS, 50.0)
     assert sent_to(driver).count(0) < 30
 
 
-def test_one_silent_endpoint_does_not_fill_the_in_flight_count() -> None:
-    driver = PolicyDriver(settings(classes=(PATIENT,)), endpoints=10)
+def test_one_unresponsive_endpoint_holds_few_attempts_and_causes_no_shedding() -> None:
+    driver = PolicyDriver(settings(classes=(LONG_DEADLINE,)), endpoints=10)
     for _ in range(300):
         driver.now += 20
-        number = driver.request(deadline_in=5500.0)
+        new_request = driver.request(deadline_in=5500.0)
         if sent_to(driver)[-1] != 0:
-            driver.serve(number)
-    open_ids = [driver.attempts[opened.request_id][0].endpoint.id for opened in driver.open_attempts]
-    assert open_ids.count(0) <= 5
+            driver.serve(new_request)
+    endpoint_ids = [driver.attempts[sent.request_id][0].endpoint.id for sent in driver.open_attempts]
+    assert endpoint_ids.count(0) <= 5
     assert shedding_threshold(driver) == 0.0
 
 
 def test_stalled_endpoint_gets_no_more_attempts() -> None:
-    driver = PolicyDriver(settings(classes=(PATIENT,)), endpoints=10)
-    for _ in range(300):  # the policy learns that answers take 50 ms
+    driver = PolicyDriver(settings(classes=(LONG_DEADLINE,)), endpoints=10)
+    for _ in range(300):  # the policy learns a latency of 50 ms
         driver.now += 20
         driver.serve(driver.request(deadline_in=5500.0))
-    for _ in range(6):  # all but those on one endpoint are answered
+    for _ in range(6):  # all are answered below, except those on one endpoint
         driver.request(deadline_in=5500.0)
-    stalled = sent_to(driver)[-1]
+    stalled_id = sent_to(driver)[-1]
     for request, attempt in list(driver.open_attempts):
-        if driver.attempts[request][attempt].endpoint.id != stalled:
+        if driver.attempts[request][attempt].endpoint.id != stalled_id:
             driver.end_attempt(request, attempt, AttemptResult.SUCCESS)
     driver.now += 5 * max(typical_answer_times(driver))
     for _ in range(3):
         driver.serve(driver.request(deadline_in=5500.0))
         driver.request(deadline_in=5500.0)
     for _ in range(100):
-        assert sent_to(driver)[-1] != stalled
+        assert sent_to(driver)[-1] != stalled_id
         driver.request(deadline_in=5500.0)
 
 
 def test_unanswered_attempts_neither_stall_an_endpoint_nor_count_as_load() -> None:
-    # An endpoint that never answers a few requests but answers the later ones is not stalled.
-    driver = PolicyDriver(settings(classes=(PATIENT,)), endpoints=4)
+    # An endpoint that never answers a few attempts but answers later ones is not stalled.
+    driver = PolicyDriver(settings(classes=(LONG_DEADLINE,)), endpoints=4)
     unanswered = rejected = 0
     for step in range(1200):
         driver.now += 10
-        number = driver.request(deadline_in=5500.0)
-        rejected += not driver.attempts[number]
+        request_id = driver.request(deadline_in=5500.0)
+        rejected += not driver.attempts[request_id]
         if step > 200 and step % 20 == 0:
             unanswered += 1
-        elif driver.attempts[number]:
+        elif driver.attempts[request_id]:
             driver.now += 1
-            driver.serve(number, 50.0)
+            driver.serve(request_id, 50.0)
     assert rejected == 0
     assert len(driver.open_attempts) == unanswered > 40
     assert averaged_in_flight(driver) < 4.0
 
 
-def test_failures_by_chance_eject_no_endpoint_but_a_dead_one_is_ejected() -> None:
-    # Failures are counted by class: those of other classes must not add up against a class.
+def test_random_failures_rarely_eject_an_endpoint_but_a_dead_one_is_ejected() -> None:
+    # Failures are counted by class: those of the other classes must not add up to an ejection.
     driver = PolicyDriver(
         settings(
             classes=(
@@ -113,32 +113,36 @@
         ),
         endpoints=9,
     )
-    chance, dead, ejected, samples = random.Random(5), 4, 0, 0
+    rng, dead_id, ejected_sum, samples = random.Random(5), 4, 0, 0
     for step in range(6000):
         driver.now += 5
-        number = driver.request(step % 3)
+        request_id = driver.request(step % 3)
         for attempt in range(4):
-            if not driver.is_open(number, attempt):
+            if not driver.is_open(request_id, attempt):
                 break
             driver.now += 1
-            fails = driver.attempts[number][attempt].endpoint.id == dead or chance.random() < 0.12
-            driver.end_attempt(number, attempt, AttemptResult.RESET if fails else AttemptResult.SUCCESS, 50.0)
+            fails = driver.attempts[request_id][attempt].endpoint.id == dead_id or rng.random() < 0.12
+            driver.end_attempt(
+                request_id, attempt, AttemptResult.RESET if fails else AttemptResult.SUCCESS, 50.0
+            )
         if step > 1000:
             samples += 1
-            ejected += sum(
-                ejected_until(driver, i) > driver.now for i in tracked_endpoints(driver) if i != dead
+            ejected_sum += sum(
+                ejected_until(driver, i) > driver.now for i in tracked_endpoints(driver) if i != dead_id
             )
-    assert ejected / samples < 0.5  # of eight endpoints
-    assert sent_to(driver).count(dead) < len(sent_to(driver)) / 90  # of an even share of one in nine
+    # On average, fewer than 0.5 of the eight working endpoints are ejected.
+    assert ejected_sum / samples < 0.5
+    # An even share is one in nine; the dead endpoint gets less than a tenth of it.
+    assert sent_to(driver).count(dead_id) < len(sent_to(driver)) / 90
 
 
 def test_restarted_endpoint_starts_without_failures() -> None:
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,)), endpoints=4)
     for _ in range(400):
         driver.now += 5
-        number = driver.request()
+        request_id = driver.request()
         driver.end_attempt(
-            number, 0, AttemptResult.ERROR if sent_to(driver)[-1] == 0 else AttemptResult.SUCCESS
+            request_id, 0, AttemptResult.ERROR if sent_to(driver)[-1] == 0 else AttemptResult.SUCCESS
         )
     assert ejected_until(driver, 0) > 0
     driver.update_endpoints([replace(endpoint(0), started_at=driver.now - 60_000.0)])
@@ -152,42 +156,44 @@
     )
     for step in range(1200):
         driver.now += 10
-        number = driver.request(step % 2)
-        if driver.is_open(number):
+        new_request = driver.request(step % 2)
+        if driver.is_open(new_request):
             failing = sent_to(driver)[-1] < 2 and step % 2
-            driver.end_attempt(number, 0, AttemptResult.ERROR if failing else AttemptResult.SUCCESS)
-    late = [command for command in driver.commands if isinstance(command, SendAttempt)][-600:]
-    on_failing = [driver.requests[sent.request_id].class_index for sent in late if sent.endpoint_id < 2]
-    assert on_failing.count(1) < 12
-    assert on_failing.count(0) > 60
+            driver.end_attempt(new_request, 0, AttemptResult.ERROR if failing else AttemptResult.SUCCESS)
+    last_sent = [command for command in driver.commands if isinstance(command, SendAttempt)][-600:]
+    classes_on_failing = [
+        driver.requests[sent.request_id].class_index for sent in last_sent if sent.endpoint_id < 2
+    ]
+    assert classes_on_failing.count(1) < 12
+    assert classes_on_failing.count(0) > 60
 
 
-def test_instant_resets_neither_raise_the_threshold_nor_eject_the_endpoint() -> None:
-    # An endpoint may close an idle connection while a request is sent on it; it is well all the same.
+def test_immediate_resets_neither_raise_the_shedding_threshold_nor_eject_an_endpoint() -> None:
+    # A healthy endpoint may close an idle connection just as a request is sent on it.
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,)), endpoints=10)
     for step in range(1500):
         driver.now += 10
-        number = driver.request()
-        if driver.is_open(number):
+        request_id = driver.request()
+        if driver.is_open(request_id):
             if step % 5 == 0:
-                driver.end_attempt(number, 0, AttemptResult.RESET, 0.5)
+                driver.end_attempt(request_id, 0, AttemptResult.RESET, 0.5)
             else:
-                driver.serve(number)
-        if driver.is_open(number, 1):
-            driver.end_attempt(number, 1, AttemptResult.SUCCESS)
+                driver.serve(request_id)
+        if driver.is_open(request_id, 1):
+            driver.end_attempt(request_id, 1, AttemptResult.SUCCESS)
         assert shedding_threshold(driver) < 1.0
         assert not any(ejected_until(driver, i) > driver.now for i in tracked_endpoints(driver))
 
 
 def test_one_rejected_attempt_that_may_have_run_is_enough_to_avoid_the_endpoint() -> None:
-    # There a rejected attempt costs the request; elsewhere another endpoint is tried.
-    for may_have_run, most in ((True, 3), (False, 12)):
+    # After such a rejection the request can't be retried; otherwise another endpoint is tried.
+    for may_have_run, max_count in ((True, 3), (False, 12)):
         config = settings(classes=(NOT_IDEMPOTENT,), rejected_may_have_run=may_have_run, max_attempts=1)
         driver = PolicyDriver(config, endpoints=10)
         for _ in range(100):
             driver.now += 20
-            number = driver.request()
+            request_id = driver.request()
             driver.end_attempt(
-                number, 0, AttemptResult.REJECTED if sent_to(driver)[-1] == 0 else AttemptResult.SUCCESS
+                request_id, 0, AttemptResult.REJECTED if sent_to(driver)[-1] == 0 else AttemptResult.SUCCESS
             )
-        assert sent_to(driver).count(0) <= most
+        assert sent_to(driver).count(0) <= max_count
