--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -1,4 +1,4 @@
-"""The protocol's rules under random legal events, asserted from outside by the driver."""
+"""The protocol's rules under random valid events; the driver asserts them on each command."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 from hypothesis import given, seed
-from hypothesis import settings as profile
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from load_balancer.policy.endpoints import EndpointState
@@ -53,18 +53,18 @@
     AttemptResult.NOT_SENT,
 )
 
-STEP = st.tuples(st.integers(0, 9), st.integers(0, 10**6))  # which action, and a number to choose its details
+STEP = st.tuples(st.integers(0, 9), st.integers(0, 10**6))  # action, and a number that selects its details
 
 
 def take_step(driver: PolicyDriver, action: int, number: int) -> None:
-    """Do one of: a new request, an outcome, time passes, a cancellation, an endpoint update."""
+    """Apply one action: a request, the end of an attempt, a pause, a cancellation or an endpoint update."""
     if action <= 3:
         deadline_in = (2.0, 90.0, 900.0)[number % 3]
         tenant = number % 2 if driver.config.tenant_quotas else 0
         driver.request(number % len(CLASSES), deadline_in, key=number % 5, tenant=tenant)
     elif action <= 6 and driver.open_attempts:
-        attempt = sorted(driver.open_attempts)[number % len(driver.open_attempts)]
-        driver.end_attempt(*attempt, RESULTS[number % len(RESULTS)])
+        attempt_id = sorted(driver.open_attempts)[number % len(driver.open_attempts)]
+        driver.end_attempt(*attempt_id, RESULTS[number % len(RESULTS)])
     elif action == 7:
         driver.advance(float(number % 400))
     elif action == 8 and driver.unanswered:
@@ -74,7 +74,7 @@
 
 
 def change_endpoints(driver: PolicyDriver, number: int) -> None:
-    """One endpoint changes, a snapshot names it alone, or discovery is lost."""
+    """Send a delta of one endpoint, a snapshot with only that endpoint, or the loss of discovery."""
     started = driver.now if number % 7 == 0 else 0.0
     entry = endpoint(number % 12, list(EndpointState)[number % 3], started)
     kind = (UpdateKind.DELTA, UpdateKind.SNAPSHOT, UpdateKind.UNAVAILABLE)[number % 3]
@@ -87,7 +87,7 @@
 
 
 @seed(7)
-@profile(max_examples=150, deadline=None, derandomize=True, database=None)
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(
     steps=st.lists(STEP, max_size=120),
     can_cancel=st.booleans(),
@@ -98,7 +98,7 @@
     cooldown=st.sampled_from([0.0, 40.0, 2000.0]),
     endpoints=st.integers(0, 9),
 )
-def test_rules_hold_for_any_legal_events(
+def test_rules_hold_for_any_valid_events(
     steps: list[tuple[int, int]],
     can_cancel: bool,
     polled: bool,
@@ -127,8 +127,8 @@
 
 
 @pytest.mark.parametrize("class_index", range(len(CLASSES)))
-def test_answers_when_no_endpoint_is_ready(class_index: int) -> None:
+def test_request_is_rejected_when_no_endpoint_is_ready(class_index: int) -> None:
     driver = PolicyDriver(settings(classes=CLASSES), endpoints=0)
-    number = driver.request(class_index)
+    request_id = driver.request(class_index)
     driver.advance(1000.0)
-    assert driver.answers[number] == Answer.REJECTED
+    assert driver.answers[request_id] == Answer.REJECTED
