--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas."""
+"""Tenant quotas: which requests are rejected first."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from tests.policy.policy_state import set_overload
 
 
-def test_traffic_over_quota_is_rejected_first() -> None:
+def test_requests_over_quota_are_rejected_first() -> None:
     config = settings(tenant_quotas=(1000.0, 10.0), over_quota_weight=0.05, classes=(IDEMPOTENT,))
     driver = PolicyDriver(config, endpoints=50)
-    for step in range(600):
+    for step in range(600):  # each tenant sends 100 requests per second; only tenant 1 exceeds its quota
         driver.now += 5
-        number = driver.request(0, tenant=step % 2)
-        if driver.is_open(number):
-            driver.serve(number)
+        request_id = driver.request(0, tenant=step % 2)
+        if driver.is_open(request_id):
+            driver.serve(request_id)
     set_overload(driver, 0.3)
     rejected = [0, 0]
     for step in range(400):
