--- a/tests/policy/test_staleness.py
+++ b/tests/policy/test_staleness.py
@@ -1,4 +1,4 @@
-"""The endpoint list while there is no contact with discovery, and how it is asked for again."""
+"""Stale endpoint lists: which endpoints are used without contact with discovery, and how it is polled."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.policy.driver import NOT_IDEMPOTENT, PolicyDriver, endpoint, settings
 
 
-def test_endpoint_list_is_polled_with_backoff_and_only_where_it_is_not_pushed() -> None:
+def test_discovery_is_polled_with_backoff_unless_it_pushes_the_endpoint_list() -> None:
     driver = PolicyDriver(settings(endpoints_are_polled=True), endpoints=3)
     delays = []
     for _ in range(8):
@@ -17,13 +17,13 @@
     assert sum(isinstance(command, WatchEndpoints) for command in driver.commands) >= 7
     assert delays[-1] > delays[0]
     assert max(delays) <= driver.config.poll_interval_limit / 4
-    pushed = PolicyDriver(settings(), endpoints=3)
-    pushed.advance(60_000.0)
-    assert not any(isinstance(command, WatchEndpoints | SetTimer) for command in pushed.commands)
+    push_driver = PolicyDriver(settings(), endpoints=3)
+    push_driver.advance(60_000.0)
+    assert not any(isinstance(command, WatchEndpoints | SetTimer) for command in push_driver.commands)
 
 
-def test_while_the_endpoint_list_is_stale_only_endpoints_that_served_lately_are_used() -> None:
-    # An endpoint may be draining unnoticed meanwhile; one that answered lately is not.
+def test_only_endpoints_that_served_recently_are_used_while_the_list_is_stale() -> None:
+    # Without discovery the node can't see drains, but an endpoint that served a request isn't draining.
     driver = PolicyDriver(
         settings(
             classes=(NOT_IDEMPOTENT,),
@@ -35,32 +35,33 @@
     )
     driver.update_endpoints([])
     for _ in range(40):
-        driver.now += 100  # no update for 4 s, but the watch stands: not stale
+        driver.now += 100  # no update for 4 s, but the watch is open: the list is not stale
         driver.serve(driver.request())
     driver.handle(EndpointUpdate(UpdateKind.UNAVAILABLE, 0, [], driver.now - 1000.0))
-    stale_since, first = driver.now - 1000.0, len(driver.attempts)
+    stale_since, earlier_count = driver.now - 1000.0, len(driver.attempts)
     for _ in range(100):
         driver.now += 100
-        number = driver.request()
+        request_id = driver.request()
         while driver.open_attempts:
-            serves = driver.attempts[number][-1].endpoint.id < 2
+            is_served = driver.attempts[request_id][-1].endpoint.id < 2
             driver.end_attempt(
-                *driver.any_open_attempt(), AttemptResult.SUCCESS if serves else AttemptResult.REJECTED
+                *driver.any_open_attempt(), AttemptResult.SUCCESS if is_served else AttemptResult.REJECTED
             )
-    attempts = [sent for of_request in list(driver.attempts.values())[first:] for sent in of_request]
-    late = [sent.endpoint.id for sent in attempts if sent.sent_at + 50.0 >= stale_since + 1000.0 + 3000.0]
-    assert len(late) > 40
-    assert set(late) == {0, 1}
+    attempts = [sent for group in list(driver.attempts.values())[earlier_count:] for sent in group]
+    # An endpoint that served a request 1000 ms after the last contact is usable for 3000 ms from then on.
+    used = [sent.endpoint.id for sent in attempts if sent.sent_at + 50.0 >= stale_since + 1000.0 + 3000.0]
+    assert len(used) > 40
+    assert set(used) == {0, 1}
     driver.now += 3000.0
     assert not driver.attempts[driver.request()]
     driver.update_endpoints([])
     assert driver.attempts[driver.request()]
     driver.handle(EndpointUpdate(UpdateKind.UNAVAILABLE, 0, [], driver.now))
-    driver.now += 60_000.0  # down for a minute: all endpoints are used again
+    driver.now += 60_000.0  # discovery is down for a minute: all endpoints are used again
     assert driver.attempts[driver.request()]
 
 
-def test_broken_watch_is_renewed_in_time() -> None:
+def test_broken_watch_is_renewed_within_the_poll_interval_limit() -> None:
     driver = PolicyDriver(settings(endpoints_are_polled=True, poll_interval_limit=5000.0), endpoints=3)
     driver.advance(300.0)
     driver.update_endpoints([endpoint(i) for i in range(3)], UpdateKind.SNAPSHOT)
