--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting: each of many nodes works with a few endpoints."""
+"""Subsetting: each of many nodes uses only some of the endpoints."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 def test_each_of_many_nodes_uses_a_small_subset_of_its_own() -> None:
-    # Connections of each of 200 nodes to each of 50 endpoints would be too many for the endpoints.
-    used: list[set[int]] = []
+    # If each of 200 nodes connected to each of 50 endpoints, an endpoint would have too many connections.
+    subsets: list[set[int]] = []
     for node in (0, 199):
         driver = PolicyDriver(
             settings(classes=(NOT_IDEMPOTENT,), node_count=200, node_index=node), endpoints=50
@@ -24,9 +24,9 @@
         for _ in range(200):
             driver.now += 50
             driver.serve(driver.request())
-        used.append(set(sent_to(driver)))
-    assert len(used[0]) <= 9
-    assert not used[0] & used[1]
+        subsets.append(set(sent_to(driver)))
+    assert len(subsets[0]) <= 9
+    assert not subsets[0] & subsets[1]
 
 
 def test_all_of_a_small_subset_is_searched_for_an_idle_endpoint() -> None:
@@ -36,25 +36,26 @@
     assert len(set(sent_to(driver))) == 6
 
 
-def test_in_a_large_fleet_a_change_affects_only_the_subsets_that_it_is_in() -> None:
-    nodes, servers = 600, 3_000
-    nodes_settings = [policy_settings(node_index=me, node_count=nodes) for me in range(0, nodes, 10)]
-    table = EndpointTable(nodes_settings[0])
+def test_change_in_a_large_fleet_affects_only_the_subset_of_the_changed_endpoint() -> None:
+    nodes, endpoints = 600, 3_000
+    settings_by_node = [policy_settings(node_index=node, node_count=nodes) for node in range(0, nodes, 10)]
+    table = EndpointTable(settings_by_node[0])
 
     def subsets() -> list[frozenset[int]]:
-        return [frozenset(choose_subset(table, one, sparse=True).ids) for one in nodes_settings]
+        return [frozenset(choose_subset(table, config, sparse=True).ids) for config in settings_by_node]
 
-    for i in range(servers):
+    for i in range(endpoints):
         table.put(policy_endpoint(i))
     before = subsets()
-    assert frozenset.union(*before) == {policy_endpoint(i).id for i in range(servers)}  # each is in one
+    assert frozenset.union(*before) == {policy_endpoint(i).id for i in range(endpoints)}  # none is left out
     assert all(len(subset) >= 48 for subset in before)
-    table.put(policy_endpoint(servers))
+    table.put(policy_endpoint(endpoints))
     table.put(replace(policy_endpoint(7), state=EndpointState.REMOVED))
-    moved = [len(old ^ new) for old, new in zip(before, subsets(), strict=True)]
-    assert 0 < sum(moved) <= 2 * len(before) / len(set(before)) + 2
+    change_sizes = [len(old ^ new) for old, new in zip(before, subsets(), strict=True)]
+    # Each of the two changes affects one subset; len(before) / len(set(before)) nodes share it on average.
+    assert 0 < sum(change_sizes) <= 2 * len(before) / len(set(before)) + 2
 
 
 @given(st.integers(1, 10**6))
-def test_the_number_of_arcs_is_one_of_few(number: int) -> None:
-    assert number / 1.2 - 1 < round_down_arc_count(number) <= number
+def test_arc_count_is_rounded_down_only_slightly(limit: int) -> None:
+    assert limit / 1.2 - 1 < round_down_arc_count(limit) <= limit
