--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -6,7 +6,7 @@
 
 from load_balancer.policy.commands import RejectRequest, WriteLog
 from load_balancer.policy.events import AttemptResult
-from tests.policy.driver import IDEMPOTENT, KEYED, NOT_IDEMPOTENT, Answer, PolicyDriver, settings
+from tests.policy.driver import IDEMPOTENT, KEYED, NOT_IDEMPOTENT, PolicyDriver, RequestOutcome, settings
 from tests.policy.policy_state import retry_after, set_overload
 
 
@@ -16,7 +16,7 @@
         number = driver.request(step % 3)
         driver.now += 10
         driver.serve(number)
-    assert set(driver.answers.values()) == {Answer.SERVED}
+    assert set(driver.outcomes.values()) == {RequestOutcome.SERVED}
 
 
 def test_threshold_is_cubic_and_rejects_that_share_of_priority_weight() -> None:
@@ -41,7 +41,7 @@
     rejected = {cls: 0 for cls in range(3)}
     waits: list[float] = []
     for step in range(900):
-        for command in driver.request_commands(step % 3):
+        for command in driver.commands_for_new_request(step % 3):
             if isinstance(command, RejectRequest):
                 rejected[step % 3] += 1
                 waits.append(command.retry_after)
@@ -72,7 +72,7 @@
     for step in range(1000):
         driver.now += 5
         number = driver.request(step % 2)
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             driver.serve(number, 30.0 if step % 2 else 90.0)
     set_overload(driver, 0.8)
     rejected = [0, 0]
@@ -88,7 +88,7 @@
         driver.serve(driver.request(), 200.0)
     number = driver.request(deadline_in=30.0)
     assert driver.attempts[number] == []
-    assert driver.answers[number] == Answer.REJECTED
+    assert driver.outcomes[number] == RequestOutcome.REJECTED
 
 
 def test_request_whose_cost_hint_exceeds_its_time_left_is_rejected_at_once() -> None:
@@ -99,7 +99,7 @@
     light = driver.request(deadline_in=90.0, cost_hint=40.0)
     heavy = driver.request(deadline_in=90.0, cost_hint=120.0)
     assert driver.attempts[light]
-    assert driver.answers[heavy] == Answer.REJECTED
+    assert driver.outcomes[heavy] == RequestOutcome.REJECTED
 
 
 def test_only_the_start_and_end_of_shedding_are_logged() -> None:
@@ -107,8 +107,10 @@
     lines: list[str] = []
     for step in range(2000):
         driver.now += 20
-        lines += [command.message for command in driver.request_commands(0) if isinstance(command, WriteLog)]
-        for number, attempt in list(driver.open_attempts):
+        lines += [
+            command.message for command in driver.commands_for_new_request(0) if isinstance(command, WriteLog)
+        ]
+        for number, attempt in list(driver.attempts_in_flight):
             driver.end_attempt(
                 number, attempt, AttemptResult.TIMEOUT if step < 400 else AttemptResult.SUCCESS
             )
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -7,7 +7,7 @@
 from load_balancer.policy.endpoints import EndpointState
 from load_balancer.policy.engine import Policy
 from load_balancer.policy.events import AttemptEnded, AttemptResult, RequestArrived, UpdateKind
-from tests.policy.driver import NOT_IDEMPOTENT, START, PolicyDriver, endpoint, sent_to, settings
+from tests.policy.driver import NOT_IDEMPOTENT, START_TIME, PolicyDriver, endpoint, sent_to, settings
 from tests.policy.policy_state import tracked_endpoints
 
 
@@ -18,8 +18,8 @@
         for step in range(400):
             driver.advance(7.0)
             driver.request(step % 3, key=step % 11)
-            if driver.open_attempts and step % 2:
-                driver.end_attempt(*min(driver.open_attempts), AttemptResult.SUCCESS)
+            if driver.attempts_in_flight and step % 2:
+                driver.end_attempt(*min(driver.attempts_in_flight), AttemptResult.SUCCESS)
             if other_driver:
                 other_driver.request(step % 3, key=step % 5)
         return driver.commands
@@ -51,10 +51,10 @@
 def test_unknown_class_or_tenant_is_a_clear_error() -> None:
     policy = Policy(settings(), 1)
     with pytest.raises(LookupError, match="class 9"):
-        policy.handle(START, RequestArrived(1, 9, START + 100))
+        policy.handle(START_TIME, RequestArrived(1, 9, START_TIME + 100))
     with pytest.raises(LookupError, match="tenant 2"):
         tenants = settings(tenant_quotas=(5.0, 5.0))
-        Policy(tenants, 1).handle(START, RequestArrived(1, 0, START + 100, tenant=2))
+        Policy(tenants, 1).handle(START_TIME, RequestArrived(1, 0, START_TIME + 100, tenant=2))
 
 
 def test_draining_endpoint_gets_no_more_attempts() -> None:
--- a/tests/policy/test_key_sequencing.py
+++ b/tests/policy/test_key_sequencing.py
@@ -11,9 +11,9 @@
     NOT_IDEMPOTENT,
     SEQUENTIAL,
     SEQUENTIAL_IDEMPOTENT,
-    Answer,
     AttemptId,
     PolicyDriver,
+    RequestOutcome,
     settings,
 )
 from tests.policy.policy_state import tracked_keys
@@ -74,9 +74,9 @@
     first = driver.request(0, key=7)
     queued = driver.request(0, key=7)
     driver.cancel(first)
-    del driver.open_attempts[AttemptId(first, 0)]  # its outcome never comes
+    del driver.attempts_in_flight[AttemptId(first, 0)]  # its outcome never comes
     driver.advance(1000.0)
-    assert driver.answers[queued] == Answer.REJECTED
+    assert driver.outcomes[queued] == RequestOutcome.REJECTED
 
 
 def test_end_of_a_queue_that_cannot_be_served_in_time_is_rejected_at_once() -> None:
@@ -86,7 +86,7 @@
         driver.serve(driver.request(2), 100.0)
         driver.serve(driver.request(0, key=9), 100.0)
     numbers = [driver.request(0, key=7) for _ in range(30)]
-    rejected = [n for n in numbers if driver.answers.get(n) == Answer.REJECTED]
+    rejected = [n for n in numbers if driver.outcomes.get(n) == RequestOutcome.REJECTED]
     assert 20 < len(rejected) < 29
     assert rejected == numbers[-len(rejected) :]
 
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -42,7 +42,7 @@
     for _ in range(400):
         driver.now += 5
         number = driver.request()
-        while driver.last_is_open(number):
+        while driver.last_is_in_flight(number):
             attempt = driver.last_attempt(number)
             if sent_to(driver)[-1] == 0:
                 driver.end_attempt(number, attempt, AttemptResult.REJECTED, 0.5)
@@ -58,7 +58,7 @@
         number = driver.request(deadline_in=5500.0)
         if sent_to(driver)[-1] != 0:
             driver.serve(number)
-    open_ids = [driver.attempts[opened.request_id][0].endpoint.id for opened in driver.open_attempts]
+    open_ids = [driver.attempts[opened.request_id][0].endpoint.id for opened in driver.attempts_in_flight]
     assert open_ids.count(0) <= 5
     assert shedding_threshold(driver) == 0.0
 
@@ -71,7 +71,7 @@
     for _ in range(6):  # all but those on one endpoint are answered
         driver.request(deadline_in=5500.0)
     stalled = sent_to(driver)[-1]
-    for request, attempt in list(driver.open_attempts):
+    for request, attempt in list(driver.attempts_in_flight):
         if driver.attempts[request][attempt].endpoint.id != stalled:
             driver.end_attempt(request, attempt, AttemptResult.SUCCESS)
     driver.now += 5 * max(typical_answer_times(driver))
@@ -97,7 +97,7 @@
             driver.now += 1
             driver.serve(number, 50.0)
     assert rejected == 0
-    assert len(driver.open_attempts) == unanswered > 40
+    assert len(driver.attempts_in_flight) == unanswered > 40
     assert averaged_in_flight(driver) < 4.0
 
 
@@ -118,7 +118,7 @@
         driver.now += 5
         number = driver.request(step % 3)
         for attempt in range(4):
-            if not driver.is_open(number, attempt):
+            if not driver.is_in_flight(number, attempt):
                 break
             driver.now += 1
             fails = driver.attempts[number][attempt].endpoint.id == dead or chance.random() < 0.12
@@ -153,7 +153,7 @@
     for step in range(1200):
         driver.now += 10
         number = driver.request(step % 2)
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             failing = sent_to(driver)[-1] < 2 and step % 2
             driver.end_attempt(number, 0, AttemptResult.ERROR if failing else AttemptResult.SUCCESS)
     late = [command for command in driver.commands if isinstance(command, SendAttempt)][-600:]
@@ -168,12 +168,12 @@
     for step in range(1500):
         driver.now += 10
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             if step % 5 == 0:
                 driver.end_attempt(number, 0, AttemptResult.RESET, 0.5)
             else:
                 driver.serve(number)
-        if driver.is_open(number, 1):
+        if driver.is_in_flight(number, 1):
             driver.end_attempt(number, 1, AttemptResult.SUCCESS)
         assert shedding_threshold(driver) < 1.0
         assert not any(ejected_until(driver, i) > driver.now for i in tracked_endpoints(driver))
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -11,8 +11,8 @@
 from tests.policy.driver import (
     IDEMPOTENT,
     NOT_IDEMPOTENT,
-    Answer,
     PolicyDriver,
+    RequestOutcome,
     send_traffic,
     sent_to,
     settings,
@@ -41,7 +41,7 @@
     for step in range(1000):
         driver.now += 5
         number = driver.request()
-        if driver.open_attempts:
+        if driver.attempts_in_flight:
             driver.end_attempt(
                 number, 0, AttemptResult.ERROR if sent_to(driver)[-1] < 3 else AttemptResult.SUCCESS
             )
@@ -59,14 +59,14 @@
         driver.now += 5
         number = driver.request()
         for attempt in range(4):
-            if driver.is_open(number, attempt):
+            if driver.is_in_flight(number, attempt):
                 if chance.random() < 0.17:
                     driver.end_attempt(number, attempt, AttemptResult.REJECTED, 0.5)
                 else:
                     driver.end_attempt(number, attempt, AttemptResult.SUCCESS, 50.0)
         thresholds.append(shedding_threshold(driver))
     assert max(thresholds) < 1.0
-    assert list(driver.answers.values()).count(Answer.REJECTED) < 15  # rejected four times in a row
+    assert list(driver.outcomes.values()).count(RequestOutcome.REJECTED) < 15  # rejected four times in a row
 
 
 def test_traffic_answered_in_time_is_no_overload_on_a_node_with_most_of_it() -> None:
@@ -110,13 +110,13 @@
     for _ in range(300):
         driver.now += 5
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             driver.end_attempt(number, 0, AttemptResult.ERROR, 400.0)
     assert shedding_threshold(driver) > 50
     for _ in range(2000):
         driver.now += 5
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             driver.serve(number)
     assert shedding_threshold(driver) == 0.0
 
@@ -129,7 +129,7 @@
     for result, elapsed in answers:
         driver.now += 3
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             driver.end_attempt(number, 0, result, elapsed)
             served += result is AttemptResult.SUCCESS
         thresholds.append(shedding_threshold(driver))
@@ -154,9 +154,9 @@
         numbers = [driver.request() for _ in range(8 if step % 40 == 0 else 1)]
         driver.now += 55
         for number in numbers:
-            if driver.is_open(number):
+            if driver.is_in_flight(number):
                 driver.serve(number)
-    assert list(driver.answers.values()).count(Answer.REJECTED) < 8
+    assert list(driver.outcomes.values()).count(RequestOutcome.REJECTED) < 8
 
 
 def test_concurrency_may_exceed_the_listed_weights() -> None:
@@ -167,7 +167,7 @@
     for step in range(3000):
         driver.now += 8
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             in_flight.append(number)
         elif step > 2000:
             rejected_late += 1
@@ -183,7 +183,7 @@
     for _ in range(40):  # a small node with four requests a second
         driver.now += 250
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             driver.end_attempt(number, 0, AttemptResult.TIMEOUT, 240.0)
         thresholds.append(shedding_threshold(driver))
     assert max(thresholds[:16]) > 90
@@ -213,7 +213,7 @@
     for step in range(300):
         driver.now += 20
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             if step % 2:
                 driver.end_attempt(number, 0, AttemptResult.ERROR, 2.0)
             else:
@@ -231,7 +231,7 @@
         for step in range(300):
             driver.now += 50
             number = driver.request(deadline_in=2000.0)
-            if driver.is_open(number):
+            if driver.is_in_flight(number):
                 driver.now += 700.0 if step % 5 == 0 else 0.0
                 driver.serve(number, 700.0 if step % 5 == 0 else 60.0)
         required.append(required_concurrency(driver))
--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -20,8 +20,8 @@
     NOT_IDEMPOTENT,
     SEQUENTIAL,
     SEQUENTIAL_IDEMPOTENT,
-    Answer,
     PolicyDriver,
+    RequestOutcome,
     endpoint,
     settings,
 )
@@ -62,13 +62,13 @@
         deadline_in = (2.0, 90.0, 900.0)[number % 3]
         tenant = number % 2 if driver.config.tenant_quotas else 0
         driver.request(number % len(CLASSES), deadline_in, key=number % 5, tenant=tenant)
-    elif action <= 6 and driver.open_attempts:
-        attempt = sorted(driver.open_attempts)[number % len(driver.open_attempts)]
+    elif action <= 6 and driver.attempts_in_flight:
+        attempt = sorted(driver.attempts_in_flight)[number % len(driver.attempts_in_flight)]
         driver.end_attempt(*attempt, RESULTS[number % len(RESULTS)])
     elif action == 7:
         driver.advance(float(number % 400))
-    elif action == 8 and driver.unanswered:
-        driver.cancel(sorted(driver.unanswered)[number % len(driver.unanswered)])
+    elif action == 8 and driver.pending:
+        driver.cancel(sorted(driver.pending)[number % len(driver.pending)])
     else:
         change_endpoints(driver, number)
 
@@ -83,7 +83,7 @@
     if kind is not UpdateKind.UNAVAILABLE:
         driver.update_endpoints([entry], kind)
     elif driver.config.endpoints_are_polled:
-        driver.lose_discovery()
+        driver.make_discovery_unavailable()
 
 
 @seed(7)
@@ -122,8 +122,8 @@
     for action, number in steps:
         take_step(driver, action, number)
     driver.advance(1000.0)
-    assert not driver.unanswered
-    assert set(driver.answers) == set(driver.requests)
+    assert not driver.pending
+    assert set(driver.outcomes) == set(driver.requests)
 
 
 @pytest.mark.parametrize("class_index", range(len(CLASSES)))
@@ -131,4 +131,4 @@
     driver = PolicyDriver(settings(classes=CLASSES), endpoints=0)
     number = driver.request(class_index)
     driver.advance(1000.0)
-    assert driver.answers[number] == Answer.REJECTED
+    assert driver.outcomes[number] == RequestOutcome.REJECTED
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -12,7 +12,7 @@
     for step in range(600):
         driver.now += 5
         number = driver.request(0, tenant=step % 2)
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             driver.serve(number)
     set_overload(driver, 0.3)
     rejected = [0, 0]
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -12,8 +12,8 @@
     KEYED,
     KEYED_PER_ZONE,
     NOT_IDEMPOTENT,
-    Answer,
     PolicyDriver,
+    RequestOutcome,
     settings,
 )
 from tests.policy.policy_state import (
@@ -49,10 +49,10 @@
     for _ in range(200):
         driver.now += 10
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             driver.serve(number, 150.0)
     set_typical_answer_times(driver, [50.0])
-    sent = [command for command in driver.request_commands(0) if isinstance(command, SendAttempt)]
+    sent = [command for command in driver.commands_for_new_request(0) if isinstance(command, SendAttempt)]
     assert [command.timeout for command in sent] == [IDEMPOTENT.latency_objective]
 
 
@@ -61,7 +61,7 @@
         driver = PolicyDriver(settings(classes=(IDEMPOTENT,)), endpoints=30)
         number = driver.request()
         set_overload(driver, overload)
-        while driver.last_is_open(number):
+        while driver.last_is_in_flight(number):
             driver.end_attempt(number, driver.last_attempt(number), AttemptResult.REJECTED)
         assert len(driver.attempts[number]) == most
 
@@ -74,7 +74,7 @@
     driver.now += 150
     driver.end_attempt(number, 0, AttemptResult.RESET, 150.0)
     assert len(driver.attempts[number]) == 1
-    assert driver.answers[number] == Answer.REJECTED
+    assert driver.outcomes[number] == RequestOutcome.REJECTED
 
 
 def test_keyed_request_is_not_repeated_if_connecting_may_outlast_the_window() -> None:
@@ -94,8 +94,8 @@
     for _ in range(60):
         driver.now += 20
         number = driver.request()
-        while driver.open_attempts:
-            driver.end_attempt(*driver.any_open_attempt(), AttemptResult.CONNECT_FAILED, 5.0)
+        while driver.attempts_in_flight:
+            driver.end_attempt(*driver.oldest_in_flight(), AttemptResult.CONNECT_FAILED, 5.0)
     assert shedding_threshold(driver) == 0.0
     assert len(driver.attempts[number]) == 1
 
@@ -103,10 +103,10 @@
 def test_answers_when_all_attempts_are_used() -> None:
     driver = PolicyDriver(settings(max_attempts=2))
     number = driver.request(2)
-    while driver.open_attempts:
-        driver.end_attempt(*driver.any_open_attempt(), AttemptResult.REJECTED)
+    while driver.attempts_in_flight:
+        driver.end_attempt(*driver.oldest_in_flight(), AttemptResult.REJECTED)
     assert len(driver.attempts[number]) <= 2
-    assert driver.answers[number] == Answer.REJECTED
+    assert driver.outcomes[number] == RequestOutcome.REJECTED
 
 
 def test_not_idempotent_request_that_may_have_run_fails_without_a_retry() -> None:
@@ -114,17 +114,20 @@
         driver = PolicyDriver(settings())
         number = driver.request(2)
         driver.end_attempt(number, 0, result)
-        assert driver.answers[number] == Answer.FAILED
+        assert driver.outcomes[number] == RequestOutcome.FAILED
         assert len(driver.attempts[number]) == 1
 
 
 def test_rejected_attempt_is_retried_unless_it_may_have_run() -> None:
-    for may_have_run, attempts, answer in ((False, 4, Answer.REJECTED), (True, 1, Answer.FAILED)):
+    for may_have_run, attempts, answer in (
+        (False, 4, RequestOutcome.REJECTED),
+        (True, 1, RequestOutcome.FAILED),
+    ):
         driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,), rejected_may_have_run=may_have_run))
         number = driver.request()
-        while driver.open_attempts:
-            driver.end_attempt(*driver.any_open_attempt(), AttemptResult.REJECTED)
-        assert (len(driver.attempts[number]), driver.answers[number]) == (attempts, answer)
+        while driver.attempts_in_flight:
+            driver.end_attempt(*driver.oldest_in_flight(), AttemptResult.REJECTED)
+        assert (len(driver.attempts[number]), driver.outcomes[number]) == (attempts, answer)
 
 
 def test_keyed_request_rejected_where_it_may_have_run_stays_in_its_zone() -> None:
@@ -134,6 +137,6 @@
     )
     for _ in range(40):
         number = driver.request()
-        while driver.last_is_open(number):
+        while driver.last_is_in_flight(number):
             driver.end_attempt(number, driver.last_attempt(number), AttemptResult.REJECTED)
-        assert driver.answers[number] == Answer.FAILED
+        assert driver.outcomes[number] == RequestOutcome.FAILED
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -59,7 +59,7 @@
             driver.update_endpoints([endpoint(i, started=driver.now) for i in range(5, 20)])
             first = len(sent_to(driver))
         number = driver.request()
-        if driver.is_open(number):
+        if driver.is_in_flight(number):
             driver.serve(number)
     in_slow_start = sum(target >= 5 for target in sent_to(driver)[first:])
     assert 0.35 < in_slow_start / 2000 < 0.75
@@ -75,8 +75,8 @@
             driver.update_endpoints([endpoint(10, started=driver.now)])
             first = len(sent_to(driver))
         number = driver.request()
-        while driver.open_attempts:
-            attempt = driver.any_open_attempt()
+        while driver.attempts_in_flight:
+            attempt = driver.oldest_in_flight()
             in_slow_start = driver.attempts[number][-1].endpoint.id == 10
             result = (
                 AttemptResult.SUCCESS
--- a/tests/policy/test_staleness.py
+++ b/tests/policy/test_staleness.py
@@ -12,7 +12,7 @@
     delays = []
     for _ in range(8):
         driver.advance(3000.0)
-        timers = [command for command in driver.lose_discovery() if isinstance(command, SetTimer)]
+        timers = [command for command in driver.make_discovery_unavailable() if isinstance(command, SetTimer)]
         delays.append(timers[0].delay)
     assert sum(isinstance(command, WatchEndpoints) for command in driver.commands) >= 7
     assert delays[-1] > delays[0]
@@ -42,10 +42,10 @@
     for _ in range(100):
         driver.now += 100
         number = driver.request()
-        while driver.open_attempts:
+        while driver.attempts_in_flight:
             serves = driver.attempts[number][-1].endpoint.id < 2
             driver.end_attempt(
-                *driver.any_open_attempt(), AttemptResult.SUCCESS if serves else AttemptResult.REJECTED
+                *driver.oldest_in_flight(), AttemptResult.SUCCESS if serves else AttemptResult.REJECTED
             )
     attempts = [sent for of_request in list(driver.attempts.values())[first:] for sent in of_request]
     late = [sent.endpoint.id for sent in attempts if sent.sent_at + 50.0 >= stale_since + 1000.0 + 3000.0]
