--- a/tests/policy/policy_state.py
+++ b/tests/policy/policy_state.py
@@ -1,4 +1,4 @@
-"""The tests' only access to private state of the policy: what a rule has learned, or is to start from."""
+"""Access to private state of the policy: tests read and set here what it has estimated or recorded."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def set_overload(driver: PolicyDriver, overload: float) -> None:
-    """Put the policy under an overload (0 to 1) by its errors, and keep the next refresh away."""
+    """Set the overload (0 to 1) by failures alone; the next update comes after a whole interval."""
     policy = driver.policy
     estimator = policy._overload
     estimator.average_in_flight = estimator.in_flight = 0
@@ -28,70 +28,70 @@
 
 
 def shedding_threshold(driver: PolicyDriver) -> float:
-    """Requests with a lower priority score are rejected, 0 to 100."""
+    """Return the priority score, 0 to 100, below which requests are rejected."""
     return driver.policy._admission.threshold
 
 
 def retry_after(driver: PolicyDriver, score: float) -> float:
-    """How long, in ms, a client that is rejected at this priority score is asked to wait."""
+    """Return the time in ms that a client rejected at this score is asked to wait, with random jitter."""
     return driver.policy._admission.retry_after(score)
 
 
-def failure_ratio(driver: PolicyDriver) -> float:
-    """The recent share of failed attempts."""
+def fleet_failure_ratio(driver: PolicyDriver) -> float:
+    """Return the weighted failure ratio of recent attempts over all endpoints, 0 to 1."""
     return driver.policy._overload.failures.value
 
 
-def set_failure_ratio(driver: PolicyDriver, ratio: float) -> None:
-    """Set the recent share of failed attempts."""
+def set_fleet_failure_ratio(driver: PolicyDriver, ratio: float) -> None:
+    """Set the weighted failure ratio of recent attempts over all endpoints, 0 to 1."""
     driver.policy._overload.failures.value = ratio
 
 
-def averaged_in_flight(driver: PolicyDriver) -> float:
-    """Attempts in flight, averaged."""
+def mean_attempts_in_flight(driver: PolicyDriver) -> float:
+    """Return the moving average of the number of attempts in flight."""
     return driver.policy._overload.average_in_flight
 
 
 def required_concurrency(driver: PolicyDriver) -> float:
-    """Attempts that the fleet needs in flight when it is busy, this node's part."""
+    """Return the attempts in flight that a busy fleet needs from this node."""
     return driver.policy._overload.concurrency.required
 
 
-def refresh_required_concurrency(driver: PolicyDriver, elapsed: float) -> None:
-    """Let the policy learn the required concurrency anew, `elapsed` ms after the last time."""
+def update_required_concurrency(driver: PolicyDriver, elapsed: float) -> None:
+    """Recompute the required concurrency, `elapsed` ms after the last update."""
     overload = driver.policy._overload
     overload.concurrency.update(
         elapsed, overload.average_in_flight, overload._send_rate, overload.failures, driver.policy._capacity
     )
 
 
-def timely_answers_per_second(driver: PolicyDriver) -> float:
-    """The rate of answers in time."""
+def goodput_per_second(driver: PolicyDriver) -> float:
+    """Return this node's goodput in useful responses per second."""
     return driver.policy._overload.concurrency._goodput * 1000
 
 
-def set_warm_endpoint_rate(driver: PolicyDriver, per_second: float) -> None:
-    """Set the rate at which this node gets answers in time from each endpoint that is warmed up."""
+def set_peak_goodput_per_endpoint(driver: PolicyDriver, per_second: float) -> None:
+    """Set this node's peak goodput per effective endpoint, in useful responses per second."""
     driver.policy._overload.concurrency.peak_goodput_per_endpoint = per_second / 1000
 
 
-def typical_answer_times(driver: PolicyDriver) -> list[float]:
-    """The typical answer time of each class, in ms."""
+def typical_latency_by_class(driver: PolicyDriver) -> list[float]:
+    """Return the typical latency of each request class in ms."""
     return driver.policy._latency.typical_latencies
 
 
-def set_typical_answer_times(driver: PolicyDriver, times: list[float]) -> None:
-    """Set the typical answer time of each class, in ms."""
-    driver.policy._latency.typical_latencies = times
+def set_typical_latency_by_class(driver: PolicyDriver, latencies: list[float]) -> None:
+    """Set the typical latency of each request class in ms."""
+    driver.policy._latency.typical_latencies = latencies
 
 
-def tracked_endpoints(driver: PolicyDriver) -> set[int]:
-    """The ids of the endpoints that the policy keeps state of."""
+def tracked_endpoint_ids(driver: PolicyDriver) -> set[int]:
+    """Return the ids of the endpoints of which the policy keeps state."""
     return {tracked.endpoint.id for tracked in driver.policy._registry}
 
 
-def is_usable(driver: PolicyDriver, endpoint_id: int) -> bool:
-    """Whether an endpoint may get an attempt of the first class now."""
+def is_eligible(driver: PolicyDriver, endpoint_id: int) -> bool:
+    """Return whether an endpoint may get a first attempt of a request of class 0 now."""
     policy, tracked = driver.policy, _tracked(driver, endpoint_id)
     return (
         policy._outliers.may_send(tracked, 0, driver.now)
@@ -102,30 +102,30 @@
 
 
 def ejected_until(driver: PolicyDriver, endpoint_id: int) -> float:
-    """Until when (ms) an endpoint is ejected for the first class."""
+    """Return the time in ms until which an endpoint is ejected for class 0."""
     return _tracked(driver, endpoint_id).class_health[0].ejected_until
 
 
 def eject(driver: PolicyDriver, endpoint_id: int, until: float) -> None:
-    """Eject an endpoint for the first class until then (ms)."""
+    """Eject an endpoint for class 0 until a time in ms."""
     _tracked(driver, endpoint_id).class_health[0].ejected_until = until
 
 
-def recent_failures(driver: PolicyDriver, endpoint_id: int) -> float:
-    """The recent failures of an endpoint in the first class."""
+def endpoint_failure_ratio(driver: PolicyDriver, endpoint_id: int) -> float:
+    """Return the recent failure ratio of an endpoint for class 0, 0 to 1."""
     return _tracked(driver, endpoint_id).class_health[0].failure_ratio
 
 
-def ring_endpoint(driver: PolicyDriver, key: int) -> int:
-    """The endpoint on the ring that a key falls on first."""
+def first_replica_endpoint(driver: PolicyDriver, key: int) -> int:
+    """Return the id of the endpoint that has the first replica of a key on the hash ring."""
     return driver.policy._affinity.endpoint_for(key, 0)
 
 
-def tracked_keys(driver: PolicyDriver) -> int:
-    """How many keys of sequential requests the policy keeps."""
+def tracked_key_count(driver: PolicyDriver) -> int:
+    """Return the number of keys of sequential requests of which the policy keeps state."""
     return len(driver.policy._sequencer)
 
 
 def fix_random_draws(driver: PolicyDriver, value: float) -> None:
-    """Let each random draw of the policy give this value."""
+    """Make each `random()` of the generator that the policy's components share return this value."""
     driver.policy._retries._random.random = lambda: value  # type: ignore[method-assign]
--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -4,7 +4,7 @@
 
 from load_balancer.policy.commands import SendAttempt
 from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, sent_to, settings
-from tests.policy.policy_state import ring_endpoint
+from tests.policy.policy_state import first_replica_endpoint
 
 
 def test_nodes_agree_on_the_endpoints_of_a_key() -> None:
@@ -42,6 +42,6 @@
             settings(classes=(IDEMPOTENT,), node_count=24, node_index=node, endpoints_cache_keys=True),
             endpoints=80,
         )
-        places.append([ring_endpoint(driver, key) for key in range(1, 200)])
+        places.append([first_replica_endpoint(driver, key) for key in range(1, 200)])
     assert places[0] == places[1]
     assert not set(places[0]) & set(places[2])
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -8,7 +8,7 @@
 from load_balancer.policy.engine import Policy
 from load_balancer.policy.events import AttemptEnded, AttemptResult, RequestArrived, UpdateKind
 from tests.policy.driver import NOT_IDEMPOTENT, START_TIME, PolicyDriver, endpoint, sent_to, settings
-from tests.policy.policy_state import tracked_endpoints
+from tests.policy.policy_state import tracked_endpoint_ids
 
 
 def test_same_events_give_same_commands_and_instances_share_nothing() -> None:
@@ -34,9 +34,9 @@
     for new in range(3, 203):  # every endpoint is replaced, time and again
         driver.update_endpoints([endpoint(new), endpoint(new - 3, EndpointState.REMOVED)])
     driver.update_endpoints([endpoint(300, EndpointState.REMOVED)])  # unknown so far
-    assert tracked_endpoints(driver) == {target.id, 200, 201, 202}
+    assert tracked_endpoint_ids(driver) == {target.id, 200, 201, 202}
     driver.serve(number)
-    assert tracked_endpoints(driver) == {200, 201, 202}
+    assert tracked_endpoint_ids(driver) == {200, 201, 202}
     repeated = AttemptEnded(number, target.id, True, AttemptResult.SUCCESS, 0, 5.0)
     driver.handle(repeated)  # no error
 
@@ -45,7 +45,7 @@
     driver = PolicyDriver(settings(), endpoints=4)
     driver.update_endpoints([endpoint(3, EndpointState.DRAINING)])
     driver.update_endpoints([endpoint(n) for n in range(3)], UpdateKind.SNAPSHOT)
-    assert tracked_endpoints(driver) == {0, 1, 2}
+    assert tracked_endpoint_ids(driver) == {0, 1, 2}
 
 
 def test_unknown_class_or_tenant_is_a_clear_error() -> None:
--- a/tests/policy/test_key_sequencing.py
+++ b/tests/policy/test_key_sequencing.py
@@ -16,7 +16,7 @@
     RequestOutcome,
     settings,
 )
-from tests.policy.policy_state import tracked_keys
+from tests.policy.policy_state import tracked_key_count
 
 
 def sequential_driver(**changes: Any) -> PolicyDriver:
@@ -96,7 +96,7 @@
     for key in range(1, 300):
         driver.serve(driver.request(0, key=key))
         driver.now += 100
-    assert tracked_keys(driver) < 150
+    assert tracked_key_count(driver) < 150
 
 
 def test_restarted_node_knows_nothing_of_earlier_requests() -> None:
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -9,12 +9,12 @@
 from load_balancer.policy.events import AttemptResult
 from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, endpoint, sent_to, settings
 from tests.policy.policy_state import (
-    averaged_in_flight,
     ejected_until,
-    recent_failures,
+    endpoint_failure_ratio,
+    mean_attempts_in_flight,
     shedding_threshold,
-    tracked_endpoints,
-    typical_answer_times,
+    tracked_endpoint_ids,
+    typical_latency_by_class,
 )
 
 PATIENT = replace(NOT_IDEMPOTENT, latency_objective=5000.0, deadline=6000.0)
@@ -74,7 +74,7 @@
     for request, attempt in list(driver.attempts_in_flight):
         if driver.attempts[request][attempt].endpoint.id != stalled:
             driver.end_attempt(request, attempt, AttemptResult.SUCCESS)
-    driver.now += 5 * max(typical_answer_times(driver))
+    driver.now += 5 * max(typical_latency_by_class(driver))
     for _ in range(3):
         driver.serve(driver.request(deadline_in=5500.0))
         driver.request(deadline_in=5500.0)
@@ -98,7 +98,7 @@
             driver.serve(number, 50.0)
     assert rejected == 0
     assert len(driver.attempts_in_flight) == unanswered > 40
-    assert averaged_in_flight(driver) < 4.0
+    assert mean_attempts_in_flight(driver) < 4.0
 
 
 def test_failures_by_chance_eject_no_endpoint_but_a_dead_one_is_ejected() -> None:
@@ -126,7 +126,7 @@
         if step > 1000:
             samples += 1
             ejected += sum(
-                ejected_until(driver, i) > driver.now for i in tracked_endpoints(driver) if i != dead
+                ejected_until(driver, i) > driver.now for i in tracked_endpoint_ids(driver) if i != dead
             )
     assert ejected / samples < 0.5  # of eight endpoints
     assert sent_to(driver).count(dead) < len(sent_to(driver)) / 90  # of an even share of one in nine
@@ -143,7 +143,7 @@
     assert ejected_until(driver, 0) > 0
     driver.update_endpoints([replace(endpoint(0), started_at=driver.now - 60_000.0)])
     assert not ejected_until(driver, 0)
-    assert recent_failures(driver, 0) == 0.0
+    assert endpoint_failure_ratio(driver, 0) == 0.0
 
 
 def test_endpoint_is_ejected_only_for_the_class_that_fails() -> None:
@@ -176,7 +176,7 @@
         if driver.is_in_flight(number, 1):
             driver.end_attempt(number, 1, AttemptResult.SUCCESS)
         assert shedding_threshold(driver) < 1.0
-        assert not any(ejected_until(driver, i) > driver.now for i in tracked_endpoints(driver))
+        assert not any(ejected_until(driver, i) > driver.now for i in tracked_endpoint_ids(driver))
 
 
 def test_one_rejected_attempt_that_may_have_run_is_enough_to_avoid_the_endpoint() -> None:
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -18,12 +18,12 @@
     settings,
 )
 from tests.policy.policy_state import (
-    failure_ratio,
-    refresh_required_concurrency,
+    fleet_failure_ratio,
+    goodput_per_second,
     required_concurrency,
-    set_failure_ratio,
+    set_fleet_failure_ratio,
     shedding_threshold,
-    timely_answers_per_second,
+    update_required_concurrency,
 )
 
 
@@ -46,7 +46,7 @@
                 number, 0, AttemptResult.ERROR if sent_to(driver)[-1] < 3 else AttemptResult.SUCCESS
             )
         if step > 100:  # their failures are known by then
-            worst = max(worst, failure_ratio(driver))
+            worst = max(worst, fleet_failure_ratio(driver))
     assert shedding_threshold(driver) == 0.0
     assert worst < 0.1
 
@@ -244,8 +244,8 @@
     send_traffic(driver, 50, 10)
     required = []
     for errors in (0.04, 0.06):
-        set_failure_ratio(driver, errors)
-        refresh_required_concurrency(driver, 0.001)
+        set_fleet_failure_ratio(driver, errors)
+        update_required_concurrency(driver, 0.001)
         required.append(required_concurrency(driver))
     assert required[1] > 0.85 * required[0]
 
@@ -253,4 +253,4 @@
 def test_new_node_measures_its_answer_rate_within_a_second() -> None:
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,), node_count=20), endpoints=8)
     send_traffic(driver, 50, 1)
-    assert 0.6 < timely_answers_per_second(driver) / 50 < 1.4
+    assert 0.6 < goodput_per_second(driver) / 50 < 1.4
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -19,7 +19,7 @@
 from tests.policy.policy_state import (
     fix_random_draws,
     set_overload,
-    set_typical_answer_times,
+    set_typical_latency_by_class,
     shedding_threshold,
 )
 
@@ -51,7 +51,7 @@
         number = driver.request()
         if driver.is_in_flight(number):
             driver.serve(number, 150.0)
-    set_typical_answer_times(driver, [50.0])
+    set_typical_latency_by_class(driver, [50.0])
     sent = [command for command in driver.commands_for_new_request(0) if isinstance(command, SendAttempt)]
     assert [command.timeout for command in sent] == [IDEMPOTENT.latency_objective]
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -9,7 +9,7 @@
 from load_balancer.policy.endpoints import EndpointState
 from load_balancer.policy.events import AttemptResult, UpdateKind
 from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, endpoint, sent_to, settings
-from tests.policy.policy_state import is_usable, set_warm_endpoint_rate
+from tests.policy.policy_state import is_eligible, set_peak_goodput_per_endpoint
 
 
 def test_endpoint_in_slow_start_gets_less_than_its_peers() -> None:
@@ -38,11 +38,11 @@
         driver = PolicyDriver(replace(config, node_index=node), seed=node, endpoints=0)
         driver.update_endpoints([endpoint(0), endpoint(1, started=driver.now)], UpdateKind.SNAPSHOT)
         for _ in range(int(age / 50)):
-            set_warm_endpoint_rate(driver, answered_per_second / nodes)
-            is_usable(driver, 1)
+            set_peak_goodput_per_endpoint(driver, answered_per_second / nodes)
+            is_eligible(driver, 1)
             driver.now += 50
         driver.update_endpoints([endpoint(0, EndpointState.DRAINING)])
-        set_warm_endpoint_rate(driver, answered_per_second / nodes)
+        set_peak_goodput_per_endpoint(driver, answered_per_second / nodes)
         driver.request(0)
         sent += 1 in sent_to(driver)
     allowed = overload_factor * answered_per_second * (0.2 + 0.8 * age / 10_000.0)
