--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: endpoints that started lately get a part of what their peers get."""
+"""Slow start: an endpoint that has just started gets only a share of the attempts that its peers get."""
 
 from __future__ import annotations
 
@@ -12,72 +12,74 @@
 from tests.policy.policy_state import is_eligible, set_peak_goodput_per_endpoint
 
 
-def test_endpoint_in_slow_start_gets_less_than_its_peers() -> None:
+def test_endpoint_in_slow_start_gets_fewer_attempts_than_its_peers() -> None:
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,)), endpoints=10)
-    shares = []
+    relative_shares = []  # 1 is an even share
     for step in range(3000):
         driver.now += 4
         if step == 1000:
             driver.update_endpoints([endpoint(10, started=driver.now)])
-            first = len(sent_to(driver))
+            sent_before = len(sent_to(driver))
         driver.serve(driver.request())
         if step in (1500, 2999):
-            endpoint_ids = sent_to(driver)[first:]
-            shares.append(endpoint_ids.count(10) / (len(endpoint_ids) / 11))
-    assert 0 < shares[0] < 0.5
-    assert shares[1] < 1.0
+            endpoint_ids = sent_to(driver)[sent_before:]
+            relative_shares.append(endpoint_ids.count(10) / (len(endpoint_ids) / 11))
+    assert 0 < relative_shares[0] < 0.5
+    assert relative_shares[1] < 1.0
 
 
 @pytest.mark.parametrize("nodes", [5, 30, 200])
-def test_attempts_saved_up_for_an_endpoint_in_slow_start_do_not_come_at_once(nodes: int) -> None:
-    # The nodes together must keep to the overload factor, also after seconds without traffic.
-    overload_factor, age = 2.0, 8000.0
-    answered_per_second, sent = 5.0, 0  # by a peer that is warmed up, to all nodes
+def test_unused_attempts_at_an_endpoint_in_slow_start_do_not_accumulate(nodes: int) -> None:
+    # If nodes kept unused attempts, all of them together could send an endpoint more than its overload factor
+    # allows after seconds without traffic.
+    overload_factor, age = 2.0, 8000.0  # age in ms
+    responses_per_second, sent = 5.0, 0  # of a warm peer, to all nodes
     config = settings(classes=(NOT_IDEMPOTENT,), node_count=nodes, slow_start_overload_factor=overload_factor)
     for node in range(nodes):
         driver = PolicyDriver(replace(config, node_index=node), seed=node, endpoints=0)
         driver.update_endpoints([endpoint(0), endpoint(1, started=driver.now)], UpdateKind.SNAPSHOT)
         for _ in range(int(age / 50)):
-            set_peak_goodput_per_endpoint(driver, answered_per_second / nodes)
+            set_peak_goodput_per_endpoint(driver, responses_per_second / nodes)
             is_eligible(driver, 1)
             driver.now += 50
         driver.update_endpoints([endpoint(0, EndpointState.DRAINING)])
-        set_peak_goodput_per_endpoint(driver, answered_per_second / nodes)
+        set_peak_goodput_per_endpoint(driver, responses_per_second / nodes)
         driver.request(0)
         sent += 1 in sent_to(driver)
-    allowed = overload_factor * answered_per_second * (0.2 + 0.8 * age / 10_000.0)
-    assert 0 < sent <= allowed + 2 * allowed**0.5 + 2
+    limit = overload_factor * responses_per_second * (0.2 + 0.8 * age / 10_000.0)
+    assert 0 < sent <= limit + 2 * limit**0.5 + 2  # two standard deviations and 2 attempts more
 
 
-def test_share_in_slow_start_is_measured_against_peers_that_are_warmed_up() -> None:
-    # When a fleet quadruples, the mean over all endpoints is far under the share of one that is warmed up.
+def test_share_in_slow_start_is_relative_to_warm_peers() -> None:
+    # When a fleet grows fourfold, the mean rate over all endpoints is far below that of a warm endpoint.
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,)), endpoints=5)
-    first = 0
+    sent_before = 0
     for step in range(4000):
         driver.now += 4
         if step == 2000:
             driver.update_endpoints([endpoint(i, started=driver.now) for i in range(5, 20)])
-            first = len(sent_to(driver))
-        number = driver.request()
-        if driver.is_in_flight(number):
-            driver.serve(number)
-    in_slow_start = sum(target >= 5 for target in sent_to(driver)[first:])
-    assert 0.35 < in_slow_start / 2000 < 0.75
+            sent_before = len(sent_to(driver))
+        request_id = driver.request()
+        if driver.is_in_flight(request_id):
+            driver.serve(request_id)
+    sent_in_slow_start = sum(endpoint_id >= 5 for endpoint_id in sent_to(driver)[sent_before:])
+    assert 0.35 < sent_in_slow_start / 2000 < 0.75
 
 
-def test_share_in_slow_start_counts_the_answers_of_peers_not_their_attempts() -> None:
-    # Peers that take no connections get several attempts for each request.
+def test_share_in_slow_start_is_based_on_responses_of_peers_not_on_attempts() -> None:
+    # Peers that accept no connections get several attempts for each request; a share of those attempts would
+    # be too much for an endpoint in slow start.
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,), node_count=5), endpoints=10)
-    first = 0
+    sent_before = 0
     for step in range(3000):
         driver.now += 20
         if step == 2000:
             driver.update_endpoints([endpoint(10, started=driver.now)])
-            first = len(sent_to(driver))
-        number = driver.request()
+            sent_before = len(sent_to(driver))
+        request_id = driver.request()
         while driver.attempts_in_flight:
             attempt = driver.oldest_in_flight()
-            in_slow_start = driver.attempts[number][-1].endpoint.id == 10
+            in_slow_start = driver.attempts[request_id][-1].endpoint.id == 10
             result = (
                 AttemptResult.SUCCESS
                 if in_slow_start or step < 1000 or step % 20 == 0
@@ -86,25 +88,26 @@
             driver.end_attempt(*attempt, result)
         if step == 2300:
             break
-    per_second = sent_to(driver)[first:].count(10) / 6.0
-    assert 0 < per_second < 50 / 10  # what each peer answered before its connections failed
+    per_second = sent_to(driver)[sent_before:].count(10) / 6.0
+    assert 0 < per_second < 50 / 10  # responses per second of each peer before connections failed
 
 
-def test_endpoint_restarted_under_its_own_id_is_in_slow_start_again() -> None:
+def test_endpoint_restarted_with_the_same_id_is_in_slow_start_again() -> None:
+    # Only the start time in the endpoint list shows the restart.
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,), node_count=5), endpoints=6)
-    counts = []
+    attempt_counts = []
     for step in range(900):
         driver.now += 10
         if step == 600:
             driver.update_endpoints([endpoint(0, started=driver.now)])
         driver.serve(driver.request())
         if step in (299, 599, 899):
-            counts.append(sent_to(driver).count(0))
-    assert counts[2] - counts[1] < 0.6 * (counts[1] - counts[0])
+            attempt_counts.append(sent_to(driver).count(0))
+    assert attempt_counts[2] - attempt_counts[1] < 0.6 * (attempt_counts[1] - attempt_counts[0])
 
 
-def test_new_node_sends_a_fleet_in_slow_start_its_small_share() -> None:
-    # It has seen no traffic yet; all such nodes together must stay within what the endpoints can do.
+def test_new_nodes_do_not_overload_a_fleet_in_slow_start() -> None:
+    # New nodes know no response rate yet; all of them together must stay within the endpoints' capacity.
     nodes, sent = 60, [0] * 8
     for node in range(nodes):
         driver = PolicyDriver(
@@ -116,6 +119,7 @@
             driver.request()
         for endpoint_id in sent_to(driver):
             sent[endpoint_id] += 1
-    # At 100 ms an answer, an endpoint serves 10/s when warmed up, a fifth of it at first; factor 2.5.
+    # At 100 ms per request, a warm endpoint serves 10/s one at a time, and a fifth of that at first. The
+    # limit is 2.5 times as much over the second that has passed, and 5 attempts more.
     assert sum(sent) > 0
     assert max(sent) <= 10 * 0.2 * 2.5 + 5
