--- a/tests/policy/driver.py
+++ b/tests/policy/driver.py
@@ -112,7 +112,7 @@
         self.config = config
         self.now = START_TIME
         self.policy = Policy(config, seed)
-        self.states: dict[int, EndpointState] = {}  # by endpoint id
+        self.endpoint_states: dict[int, EndpointState] = {}  # by endpoint id
         self.requests: dict[int, RequestArrived] = {}  # by request id
         self.pending: set[int] = set()  # ids of requests without an outcome
         self.outcomes: dict[int, RequestOutcome] = {}  # by request id
@@ -124,7 +124,7 @@
         self.endpoints: dict[int, Endpoint] = {}  # by id, removed ones included
         self.key_queues: dict[int, list[int]] = {}  # by key: request ids in order of arrival
         self.cooldowns: dict[int, list[Cooldown]] = {}  # by key
-        self.next_id = 1
+        self.next_request_id = 1
         self.update_endpoints([endpoint(i) for i in range(endpoints)], UpdateKind.CACHED_SNAPSHOT)
 
     def handle(self, event: object) -> list[object]:
@@ -138,9 +138,9 @@
     def update_endpoints(self, entries: list[Endpoint], kind: UpdateKind = UpdateKind.DELTA) -> list[object]:
         """Send an endpoint list update; a snapshot removes the endpoints that it does not list."""
         if kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
-            self.states = dict.fromkeys(self.states, EndpointState.REMOVED)
+            self.endpoint_states = dict.fromkeys(self.endpoint_states, EndpointState.REMOVED)
         for entry in entries:
-            self.states[entry.id] = entry.state
+            self.endpoint_states[entry.id] = entry.state
             self.endpoints[entry.id] = entry
         return self.handle(EndpointUpdate(kind, 1, entries))
 
@@ -157,8 +157,8 @@
         cost_hint: float = 0.0,
     ) -> int:
         """Let a request arrive with its deadline in `deadline_in` ms; return the request id."""
-        request_id = self.next_id
-        self.next_id += 1
+        request_id = self.next_request_id
+        self.next_request_id += 1
         deadline = self.now + deadline_in
         self.requests[request_id] = RequestArrived(request_id, class_index, deadline, key, tenant, cost_hint)
         self.pending.add(request_id)
@@ -236,19 +236,19 @@
 
     def _run_next_due(self, end: float) -> bool:
         """Run the next timer or attempt timeout due by `end` ms; return False if there is none."""
-        due = [(at, 0, token, 0) for at, token in self.timers]
+        due = [(at, 0, token, 0) for at, token in self.timers]  # sorts first at equal times
         due += [(at, 1, *attempt_id) for attempt_id, at in self.attempts_in_flight.items()]
         due = sorted(entry for entry in due if entry[0] <= end)
         if not due:
             return False
-        at, is_attempt, first, second = due[0]
+        at, is_attempt, token_or_request_id, attempt = due[0]
         self.now = max(self.now, at)
         if is_attempt:
-            sent_at = self.attempts[first][second].sent_at
-            self.end_attempt(first, second, AttemptResult.TIMEOUT, self.now - sent_at)
+            sent_at = self.attempts[token_or_request_id][attempt].sent_at
+            self.end_attempt(token_or_request_id, attempt, AttemptResult.TIMEOUT, self.now - sent_at)
         else:
-            self.timers.remove((at, first))
-            self.handle(TimerFired(first))
+            self.timers.remove((at, token_or_request_id))
+            self.handle(TimerFired(token_or_request_id))
         return True
 
     def _check_command(self, command: object) -> None:
@@ -270,14 +270,14 @@
     def _check_final_response(self, command: RejectRequest | FailRequest) -> None:
         assert command.request_id in self.pending, "final response after the request ended"
         self.pending.discard(command.request_id)
-        is_reject = isinstance(command, RejectRequest)
-        self.outcomes[command.request_id] = RequestOutcome.REJECTED if is_reject else RequestOutcome.FAILED
+        is_rejection = isinstance(command, RejectRequest)
+        self.outcomes[command.request_id] = RequestOutcome.REJECTED if is_rejection else RequestOutcome.FAILED
         request_class = self.config.classes[self.requests[command.request_id].class_index]
         repeat_is_safe = request_class.idempotency is Idempotency.IDEMPOTENT or (
             request_class.idempotency is Idempotency.KEYED
             and request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        if is_reject and not repeat_is_safe:
+        if is_rejection and not repeat_is_safe:
             assert not self.possible_runs[command.request_id], "rejected though it may have run"
 
     def _check_key_sequence(self, request_id: int) -> None:
@@ -295,7 +295,7 @@
 
     def _check_send(self, command: SendAttempt) -> None:
         assert command.request_id in self.pending, "sent after the request ended"
-        is_ready = self.states[command.endpoint_id] is EndpointState.READY
+        is_ready = self.endpoint_states[command.endpoint_id] is EndpointState.READY
         assert is_ready, "sent to an endpoint that is draining or removed"
         assert len(self.attempts[command.request_id]) < self.config.max_attempts
         in_flight = [a for a in self.attempts_in_flight if a.request_id == command.request_id]
@@ -328,8 +328,8 @@
         self.attempts_in_flight[AttemptId(request_id, attempt)] = self.now + max(timeout, 0.0)
 
 
-def sent_to(driver: PolicyDriver) -> list[int]:
-    """Return the endpoint ids of all attempts so far, in order."""
+def target_ids(driver: PolicyDriver) -> list[int]:
+    """Return the endpoint id of each attempt so far, in order."""
     return [command.endpoint_id for command in driver.commands if isinstance(command, SendAttempt)]
 
 
--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from load_balancer.policy.commands import SendAttempt
-from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, sent_to, settings
+from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, settings, target_ids
 from tests.policy.policy_state import first_replica_endpoint
 
 
@@ -16,7 +16,7 @@
         for key in range(1, 400):
             driver.now += 100
             driver.serve(driver.request(key=key * 7919))
-        used.append(sent_to(driver))
+        used.append(target_ids(driver))
     same = sum(a == b for a, b in zip(*used, strict=True))
     assert same > 200  # by chance it would be about ten
 
--- a/tests/policy/test_engine.py
+++ b/tests/policy/test_engine.py
@@ -7,7 +7,7 @@
 from load_balancer.policy.endpoints import EndpointState
 from load_balancer.policy.engine import Policy
 from load_balancer.policy.events import AttemptEnded, AttemptResult, RequestArrived, UpdateKind
-from tests.policy.driver import NOT_IDEMPOTENT, START_TIME, PolicyDriver, endpoint, sent_to, settings
+from tests.policy.driver import NOT_IDEMPOTENT, START_TIME, PolicyDriver, endpoint, settings, target_ids
 from tests.policy.policy_state import tracked_endpoint_ids
 
 
@@ -64,7 +64,7 @@
     driver.update_endpoints([endpoint(0, EndpointState.DRAINING)])
     for _ in range(30):
         driver.request(0)
-    assert set(sent_to(driver)) == {1}
+    assert set(target_ids(driver)) == {1}
 
 
 def test_endpoint_missing_from_a_snapshot_gets_no_new_attempts() -> None:
@@ -72,4 +72,4 @@
     driver.update_endpoints([endpoint(1)], UpdateKind.SNAPSHOT)
     for _ in range(30):
         driver.request(0)
-    assert set(sent_to(driver)) == {1}
+    assert set(target_ids(driver)) == {1}
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -7,7 +7,7 @@
 
 from load_balancer.policy.commands import SendAttempt
 from load_balancer.policy.events import AttemptResult
-from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, endpoint, sent_to, settings
+from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, endpoint, settings, target_ids
 from tests.policy.policy_state import (
     ejected_until,
     endpoint_failure_ratio,
@@ -26,14 +26,14 @@
     for _ in range(400):
         driver.now += 5
         number = driver.request()
-        failing = sent_to(driver)[-1] == 0
+        failing = target_ids(driver)[-1] == 0
         failures += failing
         driver.end_attempt(number, 0, AttemptResult.ERROR if failing else AttemptResult.SUCCESS)
     assert failures < 40
     for _ in range(2000):
         driver.now += 10
         driver.serve(driver.request())
-    assert sent_to(driver)[-200:].count(0) > 20
+    assert target_ids(driver)[-200:].count(0) > 20
 
 
 def test_endpoint_that_rejects_all_attempts_is_ejected() -> None:
@@ -44,11 +44,11 @@
         number = driver.request()
         while driver.last_is_in_flight(number):
             attempt = driver.last_attempt(number)
-            if sent_to(driver)[-1] == 0:
+            if target_ids(driver)[-1] == 0:
                 driver.end_attempt(number, attempt, AttemptResult.REJECTED, 0.5)
             else:
                 driver.end_attempt(number, attempt, AttemptResult.SUCCESS, 50.0)
-    assert sent_to(driver).count(0) < 30
+    assert target_ids(driver).count(0) < 30
 
 
 def test_one_silent_endpoint_does_not_fill_the_in_flight_count() -> None:
@@ -56,7 +56,7 @@
     for _ in range(300):
         driver.now += 20
         number = driver.request(deadline_in=5500.0)
-        if sent_to(driver)[-1] != 0:
+        if target_ids(driver)[-1] != 0:
             driver.serve(number)
     open_ids = [driver.attempts[opened.request_id][0].endpoint.id for opened in driver.attempts_in_flight]
     assert open_ids.count(0) <= 5
@@ -70,7 +70,7 @@
         driver.serve(driver.request(deadline_in=5500.0))
     for _ in range(6):  # all but those on one endpoint are answered
         driver.request(deadline_in=5500.0)
-    stalled = sent_to(driver)[-1]
+    stalled = target_ids(driver)[-1]
     for request, attempt in list(driver.attempts_in_flight):
         if driver.attempts[request][attempt].endpoint.id != stalled:
             driver.end_attempt(request, attempt, AttemptResult.SUCCESS)
@@ -79,7 +79,7 @@
         driver.serve(driver.request(deadline_in=5500.0))
         driver.request(deadline_in=5500.0)
     for _ in range(100):
-        assert sent_to(driver)[-1] != stalled
+        assert target_ids(driver)[-1] != stalled
         driver.request(deadline_in=5500.0)
 
 
@@ -129,7 +129,7 @@
                 ejected_until(driver, i) > driver.now for i in tracked_endpoint_ids(driver) if i != dead
             )
     assert ejected / samples < 0.5  # of eight endpoints
-    assert sent_to(driver).count(dead) < len(sent_to(driver)) / 90  # of an even share of one in nine
+    assert target_ids(driver).count(dead) < len(target_ids(driver)) / 90  # of an even share of one in nine
 
 
 def test_restarted_endpoint_starts_without_failures() -> None:
@@ -138,7 +138,7 @@
         driver.now += 5
         number = driver.request()
         driver.end_attempt(
-            number, 0, AttemptResult.ERROR if sent_to(driver)[-1] == 0 else AttemptResult.SUCCESS
+            number, 0, AttemptResult.ERROR if target_ids(driver)[-1] == 0 else AttemptResult.SUCCESS
         )
     assert ejected_until(driver, 0) > 0
     driver.update_endpoints([replace(endpoint(0), started_at=driver.now - 60_000.0)])
@@ -154,7 +154,7 @@
         driver.now += 10
         number = driver.request(step % 2)
         if driver.is_in_flight(number):
-            failing = sent_to(driver)[-1] < 2 and step % 2
+            failing = target_ids(driver)[-1] < 2 and step % 2
             driver.end_attempt(number, 0, AttemptResult.ERROR if failing else AttemptResult.SUCCESS)
     late = [command for command in driver.commands if isinstance(command, SendAttempt)][-600:]
     on_failing = [driver.requests[sent.request_id].class_index for sent in late if sent.endpoint_id < 2]
@@ -188,6 +188,6 @@
             driver.now += 20
             number = driver.request()
             driver.end_attempt(
-                number, 0, AttemptResult.REJECTED if sent_to(driver)[-1] == 0 else AttemptResult.SUCCESS
+                number, 0, AttemptResult.REJECTED if target_ids(driver)[-1] == 0 else AttemptResult.SUCCESS
             )
-        assert sent_to(driver).count(0) <= most
+        assert target_ids(driver).count(0) <= most
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -14,8 +14,8 @@
     PolicyDriver,
     RequestOutcome,
     send_traffic,
-    sent_to,
     settings,
+    target_ids,
 )
 from tests.policy.policy_state import (
     fleet_failure_ratio,
@@ -45,7 +45,7 @@
         request_id = driver.request()
         if driver.attempts_in_flight:
             driver.end_attempt(
-                request_id, 0, AttemptResult.ERROR if sent_to(driver)[-1] < 3 else AttemptResult.SUCCESS
+                request_id, 0, AttemptResult.ERROR if target_ids(driver)[-1] < 3 else AttemptResult.SUCCESS
             )
         if step > 100:  # their failures are known by then
             max_failure_ratio = max(max_failure_ratio, fleet_failure_ratio(driver))
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from load_balancer.policy.events import AttemptResult, UpdateKind
-from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, endpoint, sent_to, settings
+from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, endpoint, settings, target_ids
 from tests.policy.policy_state import eject
 
 
@@ -19,7 +19,7 @@
         for step in range(2000):
             driver.now += 5
             driver.serve(driver.request(key=step * 7919 + 1 if with_keys else 0))
-        share = sum(endpoint_id < 10 for endpoint_id in sent_to(driver)) / 2000
+        share = sum(endpoint_id < 10 for endpoint_id in target_ids(driver)) / 2000
         assert 0.45 < share < 0.7  # they have 40 of the total weight of 70
 
 
@@ -32,7 +32,7 @@
         for _ in range(50):
             driver.now += 200
             driver.serve(driver.request())
-        sent = sent_to(driver)
+        sent = target_ids(driver)
         assert len(sent) == 50
         assert min(sent.count(i) for i in (0, 3, 6)) > 2  # the endpoints in the node's zone
         used |= set(sent)
@@ -46,20 +46,22 @@
     for _ in range(2000):
         driver.now += 20
         request_id = driver.request()
-        driver.end_attempt(request_id, 0, AttemptResult.SUCCESS, 300.0 if sent_to(driver)[-1] < 4 else 60.0)
-    share = sum(endpoint_id < 4 for endpoint_id in sent_to(driver)[-1500:]) / 1500
+        driver.end_attempt(
+            request_id, 0, AttemptResult.SUCCESS, 300.0 if target_ids(driver)[-1] < 4 else 60.0
+        )
+    share = sum(endpoint_id < 4 for endpoint_id in target_ids(driver)[-1500:]) / 1500
     assert share < 0.06  # they are a tenth of the endpoints
 
 
 def test_endpoint_with_fewer_attempts_in_flight_is_preferred() -> None:
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,)), endpoints=2)
     driver.request()
-    busy_endpoint = sent_to(driver)[0]
+    busy_endpoint = target_ids(driver)[0]
     for _ in range(100):
         request_id = driver.request()
         driver.serve(request_id)
         driver.now += 1
-    assert sent_to(driver)[1:].count(busy_endpoint) < 10  # at random it would be half
+    assert target_ids(driver)[1:].count(busy_endpoint) < 10  # at random it would be half
 
 
 def test_cross_zone_cost_makes_idle_endpoints_in_the_own_zone_come_first() -> None:
@@ -69,7 +71,7 @@
         for _ in range(500):
             driver.now += 20
             driver.serve(driver.request())
-        own_zone_shares.append(sum(driver.endpoints[i].zone == 0 for i in sent_to(driver)[-400:]) / 400)
+        own_zone_shares.append(sum(driver.endpoints[i].zone == 0 for i in target_ids(driver)[-400:]) / 400)
         zones = {driver.attempts[driver.request()][0].endpoint.zone for _ in range(12)}
     assert own_zone_shares[0] < 0.95 and own_zone_shares[1] == 1.0
     assert zones > {0}  # busy endpoints in the own zone are not preferred
@@ -80,12 +82,12 @@
     for _ in range(600):
         driver.now += 20
         driver.serve(driver.request())
-    own_zone_share = sum(driver.endpoints[i].zone == 1 for i in sent_to(driver)) / 600
+    own_zone_share = sum(driver.endpoints[i].zone == 1 for i in target_ids(driver)) / 600
     assert 0.5 < own_zone_share < 0.95
     for _ in range(40):  # without responses, so that the own zone has no idle endpoint left
         driver.now += 20
         driver.request()
-    zones = [driver.endpoints[i].zone for i in sent_to(driver)[-30:]]
+    zones = [driver.endpoints[i].zone for i in target_ids(driver)[-30:]]
     assert zones.count(1) < 16
 
 
@@ -96,4 +98,4 @@
         eject(driver, ejected, driver.now + 60_000.0)
     for _ in range(50):
         driver.serve(driver.request())
-    assert set(sent_to(driver)) == {11}
+    assert set(target_ids(driver)) == {11}
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -8,7 +8,7 @@
 
 from load_balancer.policy.endpoints import EndpointState
 from load_balancer.policy.events import AttemptResult, UpdateKind
-from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, endpoint, sent_to, settings
+from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, endpoint, settings, target_ids
 from tests.policy.policy_state import is_eligible, set_peak_goodput_per_endpoint
 
 
@@ -19,10 +19,10 @@
         driver.now += 4
         if step == 1000:
             driver.update_endpoints([endpoint(10, started=driver.now)])
-            sent_before = len(sent_to(driver))
+            sent_before = len(target_ids(driver))
         driver.serve(driver.request())
         if step in (1500, 2999):
-            endpoint_ids = sent_to(driver)[sent_before:]
+            endpoint_ids = target_ids(driver)[sent_before:]
             relative_shares.append(endpoint_ids.count(10) / (len(endpoint_ids) / 11))
     assert 0 < relative_shares[0] < 0.5
     assert relative_shares[1] < 1.0
@@ -45,7 +45,7 @@
         driver.update_endpoints([endpoint(0, EndpointState.DRAINING)])
         set_peak_goodput_per_endpoint(driver, responses_per_second / nodes)
         driver.request(0)
-        sent += 1 in sent_to(driver)
+        sent += 1 in target_ids(driver)
     limit = overload_factor * responses_per_second * (0.2 + 0.8 * age / 10_000.0)
     assert 0 < sent <= limit + 2 * limit**0.5 + 2  # two standard deviations and 2 attempts more
 
@@ -58,11 +58,11 @@
         driver.now += 4
         if step == 2000:
             driver.update_endpoints([endpoint(i, started=driver.now) for i in range(5, 20)])
-            sent_before = len(sent_to(driver))
+            sent_before = len(target_ids(driver))
         request_id = driver.request()
         if driver.is_in_flight(request_id):
             driver.serve(request_id)
-    sent_in_slow_start = sum(endpoint_id >= 5 for endpoint_id in sent_to(driver)[sent_before:])
+    sent_in_slow_start = sum(endpoint_id >= 5 for endpoint_id in target_ids(driver)[sent_before:])
     assert 0.35 < sent_in_slow_start / 2000 < 0.75
 
 
@@ -75,7 +75,7 @@
         driver.now += 20
         if step == 2000:
             driver.update_endpoints([endpoint(10, started=driver.now)])
-            sent_before = len(sent_to(driver))
+            sent_before = len(target_ids(driver))
         request_id = driver.request()
         while driver.attempts_in_flight:
             attempt = driver.oldest_in_flight()
@@ -88,7 +88,7 @@
             driver.end_attempt(*attempt, result)
         if step == 2300:
             break
-    per_second = sent_to(driver)[sent_before:].count(10) / 6.0
+    per_second = target_ids(driver)[sent_before:].count(10) / 6.0
     assert 0 < per_second < 50 / 10  # responses per second of each peer before connections failed
 
 
@@ -102,7 +102,7 @@
             driver.update_endpoints([endpoint(0, started=driver.now)])
         driver.serve(driver.request())
         if step in (299, 599, 899):
-            attempt_counts.append(sent_to(driver).count(0))
+            attempt_counts.append(target_ids(driver).count(0))
     assert attempt_counts[2] - attempt_counts[1] < 0.6 * (attempt_counts[1] - attempt_counts[0])
 
 
@@ -117,7 +117,7 @@
         for _ in range(10):
             driver.now += 100
             driver.request()
-        for endpoint_id in sent_to(driver):
+        for endpoint_id in target_ids(driver):
             sent[endpoint_id] += 1
     # At 100 ms per request, a warm endpoint serves 10/s one at a time, and a fifth of that at first. The
     # limit is 2.5 times as much over the second that has passed, and 5 attempts more.
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -11,7 +11,7 @@
 from load_balancer.policy.endpoint_table import EndpointTable
 from load_balancer.policy.endpoints import EndpointState
 from load_balancer.policy.subsetting import choose_subset, round_down_arc_count
-from tests.policy.driver import NOT_IDEMPOTENT, PolicyDriver, sent_to, settings
+from tests.policy.driver import NOT_IDEMPOTENT, PolicyDriver, settings, target_ids
 
 
 def test_each_of_many_nodes_uses_a_small_subset_of_its_own() -> None:
@@ -24,7 +24,7 @@
         for _ in range(200):
             driver.now += 50
             driver.serve(driver.request())
-        used.append(set(sent_to(driver)))
+        used.append(set(target_ids(driver)))
     assert len(used[0]) <= 9
     assert not used[0] & used[1]
 
@@ -33,7 +33,7 @@
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,), node_count=200), endpoints=50)
     for _ in range(6):
         driver.request()
-    assert len(set(sent_to(driver))) == 6
+    assert len(set(target_ids(driver))) == 6
 
 
 def test_in_a_large_fleet_a_change_affects_only_the_subsets_that_it_is_in() -> None:
