--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from load_balancer.policy.commands import SendAttempt
-from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, sent_to, settings
-from tests.policy.policy_state import ring_endpoint
+from tests.policy.driver import IDEMPOTENT, NOT_IDEMPOTENT, PolicyDriver, settings, target_ids
+from tests.policy.policy_state import first_replica_endpoint
 
 
 def test_nodes_send_most_keys_to_the_same_endpoint() -> None:
@@ -16,7 +16,7 @@
         for key in range(1, 400):
             driver.now += 100
             driver.serve(driver.request(key=key * 7919))
-        endpoint_ids.append(sent_to(driver))
+        endpoint_ids.append(target_ids(driver))
     same_count = sum(a == b for a, b in zip(*endpoint_ids, strict=True))
     assert same_count > 200  # of 399 keys; about 10 would agree by chance
 
@@ -42,6 +42,6 @@
             settings(classes=(IDEMPOTENT,), node_count=24, node_index=node, endpoints_cache_keys=True),
             endpoints=80,
         )
-        mappings.append([ring_endpoint(driver, key) for key in range(1, 200)])
+        mappings.append([first_replica_endpoint(driver, key) for key in range(1, 200)])
     assert mappings[0] == mappings[1]
     assert not set(mappings[0]) & set(mappings[2])
--- a/tests/policy/test_key_sequencing.py
+++ b/tests/policy/test_key_sequencing.py
@@ -11,12 +11,12 @@
     NOT_IDEMPOTENT,
     SEQUENTIAL,
     SEQUENTIAL_IDEMPOTENT,
-    Answer,
     AttemptId,
     PolicyDriver,
+    RequestOutcome,
     settings,
 )
-from tests.policy.policy_state import tracked_keys
+from tests.policy.policy_state import tracked_key_count
 
 
 def sequential_driver(**changes: Any) -> PolicyDriver:
@@ -74,9 +74,9 @@
     first = driver.request(0, key=7)
     queued = driver.request(0, key=7)
     driver.cancel(first)
-    del driver.open_attempts[AttemptId(first, 0)]  # its result never arrives
+    del driver.attempts_in_flight[AttemptId(first, 0)]  # its result never arrives
     driver.advance(1000.0)
-    assert driver.answers[queued] == Answer.REJECTED
+    assert driver.outcomes[queued] == RequestOutcome.REJECTED
 
 
 def test_requests_too_far_back_in_a_queue_are_rejected_at_once() -> None:
@@ -87,7 +87,7 @@
         driver.serve(driver.request(0, key=9), 100.0)
     # At 100 ms each, no more than 9 of the 30 requests can be served within their deadline of 900 ms.
     request_ids = [driver.request(0, key=7) for _ in range(30)]
-    rejected = [n for n in request_ids if driver.answers.get(n) == Answer.REJECTED]
+    rejected = [n for n in request_ids if driver.outcomes.get(n) == RequestOutcome.REJECTED]
     assert 20 < len(rejected) < 29
     assert rejected == request_ids[-len(rejected) :]
 
@@ -97,7 +97,7 @@
     for key in range(1, 300):
         driver.serve(driver.request(0, key=key))
         driver.now += 100
-    assert tracked_keys(driver) < 150
+    assert tracked_key_count(driver) < 150
 
 
 def test_restarted_node_has_no_state_of_earlier_requests() -> None:
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -12,7 +12,7 @@
     for step in range(600):  # each tenant sends 100 requests per second; only tenant 1 exceeds its quota
         driver.now += 5
         request_id = driver.request(0, tenant=step % 2)
-        if driver.is_open(request_id):
+        if driver.is_in_flight(request_id):
             driver.serve(request_id)
     set_overload(driver, 0.3)
     rejected = [0, 0]
--- a/tests/policy/test_staleness.py
+++ b/tests/policy/test_staleness.py
@@ -12,7 +12,7 @@
     delays = []
     for _ in range(8):
         driver.advance(3000.0)
-        timers = [command for command in driver.lose_discovery() if isinstance(command, SetTimer)]
+        timers = [command for command in driver.make_discovery_unavailable() if isinstance(command, SetTimer)]
         delays.append(timers[0].delay)
     assert sum(isinstance(command, WatchEndpoints) for command in driver.commands) >= 7
     assert delays[-1] > delays[0]
@@ -42,10 +42,10 @@
     for _ in range(100):
         driver.now += 100
         request_id = driver.request()
-        while driver.open_attempts:
+        while driver.attempts_in_flight:
             is_served = driver.attempts[request_id][-1].endpoint.id < 2
             driver.end_attempt(
-                *driver.any_open_attempt(), AttemptResult.SUCCESS if is_served else AttemptResult.REJECTED
+                *driver.oldest_in_flight(), AttemptResult.SUCCESS if is_served else AttemptResult.REJECTED
             )
     attempts = [sent for group in list(driver.attempts.values())[earlier_count:] for sent in group]
     # An endpoint that served a request 1000 ms after the last contact is usable for 3000 ms from then on.
