--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -229,10 +229,10 @@
                 await asyncio.sleep(0)
             idle = harness.node.listener.connections.in_state(ConnectionState.IDLE)
             assert connection in idle  # closed after KEEP_ALIVE_TIMEOUT_S unless the client reads
-            last_id = harness.node.requests.last_request_id
+            last_request_id = harness.node.requests.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
-            assert harness.node.requests.last_request_id == last_id < 300
+            assert harness.node.requests.last_request_id == last_request_id < 300
             client.transport.resume_reading()
             for _ in range(300):
                 assert (await client.receive())[2] == large_body
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -37,12 +37,12 @@
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
-            client, calls = await harness.connect(), harness.discovery.targets
-            assert await calls.get() == "/catalog/members?watch=1&from=1"
+            client, targets = await harness.connect(), harness.discovery.targets
+            assert await targets.get() == "/catalog/members?watch=1&from=1"
             harness.discovery.watch_lines.put_nowait(line + b"\n")
-            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members"
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members"
             assert (await client.exchange(make_request()))[0] == 200
-            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
 
     run(test())
 
@@ -51,11 +51,11 @@
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
-            calls = harness.discovery.targets
-            assert await calls.get() == "/catalog/members?watch=1&from=1"
+            targets = harness.discovery.targets
+            assert await targets.get() == "/catalog/members?watch=1&from=1"
             harness.discovery.push(5, [upstream.entry("s-1", "leaving")])
             harness.discovery.watch_lines.put_nowait(None)
-            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=5"
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=5"
             assert harness.node.find_target(stable_id(b"s-1")).state is EndpointState.DRAINING
 
     run(test())
@@ -254,14 +254,14 @@
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
-            calls = harness.discovery.targets
+            targets = harness.discovery.targets
             harness.discovery.push(9, [upstream.entry("s-2")])
-            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
             harness.discovery.push(8, [upstream.entry("s-3")])
             for snapshot_number in range(1, MAX_STALE_SNAPSHOTS + 1):  # the stub's snapshot has version 1
-                assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members"
+                assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members"
                 assert snapshot_number == MAX_STALE_SNAPSHOTS or len(harness.endpoint_ids()) == 2
-            assert await asyncio.wait_for(calls.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
+            assert await asyncio.wait_for(targets.get(), TIMEOUT_S) == "/catalog/members?watch=1&from=1"
             assert len(harness.endpoint_ids()) == 1
 
     run(test())
