--- a/load_balancer/policy/affinity.py
+++ b/load_balancer/policy/affinity.py
@@ -14,12 +14,12 @@
 from load_balancer.policy.hashing import MASK_64, hash64
 from load_balancer.policy.working_set import WorkingSet
 
-POINTS_PER_ENDPOINT = 16  # ring points (virtual nodes) for relative capacity 1, besides one for each endpoint
+POINTS_PER_ENDPOINT = 16  # ring points (virtual nodes) at relative capacity 1, plus one for every endpoint
 # A key that gets a share s of the requests with a key has 1 + int(this * s * subset size) replicas.
 REPLICAS_PER_SHARE = 2.0
 POINT_STRIDE = 1000003  # keeps the hash inputs of different endpoints' points distinct
 REPLICA_STRIDE = 0x632BE59BD9B4E019  # keeps the hash inputs of a key's replicas distinct
-MIN_COUNT = 0.5  # decayed requests of a key at or below which it is forgotten
+MIN_COUNT = 0.5  # decayed number of requests at or below which a key is forgotten
 INITIAL_REQUESTS = 1e-9  # requests with a key at the start; avoids division by zero
 
 
--- a/load_balancer/policy/fleet_capacity.py
+++ b/load_balancer/policy/fleet_capacity.py
@@ -38,7 +38,7 @@
         """Recompute the capacity at time ``now`` in ms."""
         table, latency_factors = self._table, self._latency.machine_type_factors
         self.effective_endpoint_count = table.effective_endpoint_count(now)
-        # Keeps the last value while no ready endpoint has a weight above 0.
+        # The last value is kept while no ready endpoint has a weight above 0.
         self._max_effective_weight = table.max_effective_weight(latency_factors) or self._max_effective_weight
         concurrency_per_endpoint = table.mean_weight()
         if not MIN_CONCURRENT_WEIGHT <= concurrency_per_endpoint <= MAX_CONCURRENT_WEIGHT:
@@ -49,6 +49,6 @@
         )
 
     def relative_capacity(self, endpoint: Endpoint) -> float:
-        """Return the capacity of an endpoint by weight and machine type, relative to the largest one."""
+        """Return an endpoint's capacity by weight and machine type, relative to the largest capacity."""
         latency_factor = self._latency.machine_type_factors.get(endpoint.machine_type, 1.0)
         return endpoint.weight / latency_factor / self._max_effective_weight
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -19,15 +19,15 @@
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from load_balancer.policy.working_set import WorkingSet
 
-# If no examined endpoint is idle, the less loaded of this many is used: the first ones that are eligible.
+# If no examined endpoint is idle, the less loaded of the first COMPARED_ENDPOINTS eligible ones is used.
 COMPARED_ENDPOINTS = 2
 SAMPLE_SIZE = 6  # endpoints sampled in search of an idle one
 # Load below which an endpoint counts as idle. An endpoint of typical latency without attempts or failures has
 # a load of 1. At mean relative capacity, the limit allows it no attempt in flight, and up to 2.3 times an
 # even share of the recent attempts.
 IDLE_LOAD = 2.15
-RECENT_WEIGHT = 0.5  # weight in the load of the endpoint's recent attempts, in multiples of an even share
-IN_FLIGHT_WEIGHT = 4  # weight in the load of an attempt in flight
+RECENT_WEIGHT = 0.5  # weight of an endpoint's recent attempts (in multiples of an even share) in its load
+IN_FLIGHT_WEIGHT = 4  # weight of each attempt in flight at an endpoint in its load
 MIN_RELATIVE_CAPACITY = 1e-6  # avoids division by zero for an endpoint with weight 0
 LATENCY_GAIN = 0.4  # weight of a new response in the mean relative latency of an endpoint
 INITIAL_ATTEMPTS = 1e-9  # recent attempts at the start; avoids division by zero
@@ -86,7 +86,7 @@
             warm = self._slow_start.capacity_share(tracked.endpoint, now) >= 1.0
             if not warm or not self._eligibility.allows(tracked, request, now):
                 continue
-            # Ignores recent attempts: crossing zones costs more than using a busier endpoint.
+            # Recent attempts are ignored: crossing zones costs more than using a busier endpoint.
             if self._load(tracked, request, now, recent_weight=0.0) < IDLE_LOAD:
                 return tracked
         return None
@@ -138,16 +138,16 @@
         if key and self._uses_affinity and subset.candidates:
             yield from self._affinity.candidates(key)
         yield from self._sample(now)
-        # If these don't suffice: all candidates, from a random endpoint of the subset on.
+        # If these don't suffice, all candidates follow, from a random endpoint of the subset on.
         start = subset.start + int(self._random.random() * subset.size)
         yield from subset.candidates[start:] + subset.candidates[:start]
 
     def _sample(self, now: float) -> list[int]:
         """Sample ids of the subset, with replacement.
 
-        Endpoints in this node's zone come first, even if crossing zones has no cost. (If it has one,
-        ``_idle_in_own_zone`` has searched that zone for an idle one before.) Inside and outside the zone,
-        endpoints with more capacity are more likely to come first.
+        Endpoints in this node's zone come first, even if crossing zones has no cost. (If it has one
+        and endpoints don't cache keys, ``_idle_in_own_zone`` has already searched the zone for an idle
+        endpoint.) Inside and outside the zone, endpoints with more capacity are more likely to come first.
         """
         ids, size = self._working_set.subset.ids, self._working_set.subset.size
         sampled = [ids[int(self._random.random() * size)] for _ in range(SAMPLE_SIZE) if ids]
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -18,7 +18,7 @@
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from load_balancer.policy.working_set import WorkingSet
 
-# Share of the capacity to use: requests cost more on an endpoint whose cache is still cold.
+# Share of an endpoint's current capacity that attempts may use: requests cost more while its cache is cold.
 CAPACITY_SHARE_USED = 0.8
 OVERLOAD_FACTOR_SHARE_USED = 0.5  # share of the overload factor that all nodes together may use
 MIN_EXPECTED_ATTEMPTS = 1e-9  # avoids division by zero if no attempts are earned
@@ -64,7 +64,7 @@
         """Take an attempt from the budget of an endpoint, if it is in slow start."""
         if self.capacity_share(tracked.endpoint, now) < 1.0:
             budget = tracked.slow_start
-            # Also drops the fraction earned of the next one.
+            # Also drops the fraction of the next attempt that has been earned.
             budget.earned_attempts = budget.earned_at_last_send = int(budget.earned_attempts)
 
     def _accrue_and_check(self, budget: SlowStartBudget, capacity: float, now: float) -> bool:
@@ -80,8 +80,8 @@
 
     def _earning_rate(self, capacity: float) -> float:
         """Return the attempts per ms that this node earns at an endpoint with this share of its capacity."""
-        # Based on responses, as many of the attempts sent may fail. A new node, which has no responses yet,
-        # starts with its share of the rate at which one request at a time is served.
+        # The rate is based on responses, since many of the attempts sent may fail. A new node, which has no
+        # responses yet, starts with its share of the rate at which one request at a time is served.
         sequential_rate = 1.0 / self._settings.node_count / max(self._latency.typical_latencies)
         warm_rate = max(self._concurrency.peak_goodput_per_endpoint, sequential_rate)
         working_set = self._working_set
@@ -90,11 +90,13 @@
     def _lifetime(self, rate: float) -> float:
         """Return the time in ms for which an earned attempt can be used.
 
-        The lifetime is such that the unused attempts of all nodes, sent on top of the ``expected`` attempts
-        that they earn in an overload window, stay within a limit; but it is at least MIN_BUDGET_LIFETIME
-        overload windows. The limit uses only OVERLOAD_FACTOR_SHARE_USED of the overload factor, since the
-        nodes' peak rates add up to more than the fleet ever served at once. It also uses half of the random
-        variation that an endpoint is assumed to withstand (two standard deviations and 2 attempts).
+        All nodes together earn ``expected`` attempts per overload window. Their unused attempts, sent at
+        once, come on top. The lifetime keeps the sum within ``base_limit`` (or ``expected``, if larger) plus
+        one standard deviation and 1 attempt: half of the random variation that an endpoint is assumed to
+        withstand (two standard deviations and 2 attempts). ``base_limit`` uses only
+        OVERLOAD_FACTOR_SHARE_USED of the overload factor, since the nodes' peak rates add up to more than the
+        fleet ever served at once. The lifetime is at least MIN_BUDGET_LIFETIME overload windows, even if the
+        sum is then larger.
         """
         settings, working_set = self._settings, self._working_set
         window = settings.slow_start_overload_window
--- a/load_balancer/policy/subsetting.py
+++ b/load_balancer/policy/subsetting.py
@@ -13,7 +13,8 @@
 from load_balancer.policy.endpoint_table import EndpointTable
 from load_balancer.policy.settings import Settings
 
-# Up to this many ready endpoints, subsets are ranges of ranks: equal in size, but shifted by each change.
+# Up to this many ready endpoints, subsets are ranges of ranks (positions in hash order): equal in size, but
+# shifted by each change.
 MAX_RANKED_ENDPOINTS = 1000
 MIN_NODES_PER_RANGE = 6
 MIN_RANGE_ENDPOINTS = 8
@@ -32,11 +33,15 @@
     """The ready endpoints that a node uses."""
 
     candidates: list[int]
-    """Ids of the endpoints that may be tried, in hash order: those of the subset and others."""
+    """Ids of the endpoints that may be tried, in hash order.
+
+    These are the subset and, for use if it has no eligible endpoint, all other ready endpoints (subsets by
+    rank) or those of the next arc (subsets by arc).
+    """
     start: int
     """Index of the subset's first endpoint in ``candidates``."""
     size: int
-    """Number of endpoints in the subset; 1 if there are none."""
+    """Number of endpoints in the subset, or 1 if there are none."""
     ids: list[int] = field(init=False)
     """Ids of the endpoints in the subset."""
 
--- a/load_balancer/policy/working_set.py
+++ b/load_balancer/policy/working_set.py
@@ -1,4 +1,4 @@
-"""The endpoints that this node uses: its subset, and the part of the subset in its own zone."""
+"""The endpoints that this node uses: its subset, and the endpoints of the subset in its zone."""
 
 from __future__ import annotations
 
