--- a/load_balancer/policy/commands.py
+++ b/load_balancer/policy/commands.py
@@ -21,7 +21,7 @@
 
     request_id: int
     retry_after: float
-    """Time in ms that the client should wait before it retries; 0 for no Retry-After."""
+    """Time in ms that the client should wait before it retries, or 0 for no Retry-After."""
 
 
 @dataclass(slots=True)
--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -2,7 +2,7 @@
 
 By Little's law it is the peak goodput times the lowest mean latency, with some headroom. It is at least the
 nominal concurrency (see ``fleet_capacity``) and the sustained concurrency, which is the recent peak of the
-attempts in flight while almost all responses were in time. Goodput is the rate of useful responses:
+attempts in flight while almost all responses came in time. Goodput is the rate of useful responses:
 successful ones that are in time, or that are late in a request class that gives weight to late responses.
 """
 
@@ -12,11 +12,11 @@
 from load_balancer.policy.fleet_capacity import FleetCapacity
 
 GOODPUT_WINDOW = 2000.0  # ms over which the goodput is averaged
-PEAK_WINDOW = 20000.0  # ms over which the peak goodput decays
-# Responses over which the mean latency and the share of late responses are averaged; for the latency, those
-# of GOODPUT_WINDOW if they are more.
+PEAK_WINDOW = 20000.0  # time constant in ms of the decay of the peak goodput
+# Number of responses over which the share of late responses is averaged. The mean latency is averaged over as
+# many useful responses as arrive in a GOODPUT_WINDOW, but over no fewer than this.
 MIN_LATENCY_WINDOW = 60.0
-MIN_SAMPLES = MIN_LATENCY_WINDOW / 5  # responses below which the mean latency counts as unknown
+MIN_SAMPLES = MIN_LATENCY_WINDOW / 5  # number of responses below which the mean latency counts as unknown
 # Time constant in ms of the growth of the lowest mean latency, which lets it follow requests that become more
 # expensive.
 LOWEST_LATENCY_GROWTH_TIME = 100000.0
@@ -48,12 +48,12 @@
         """Lowest mean latency in ms; grows slowly, and is 0 while unknown. Read-only outside this class."""
         self.peak_goodput_per_endpoint = 0.0
         """Peak goodput of this node: useful responses per ms and per effective endpoint of the fleet."""
-        self._useful_responses = 0  # since the last update
+        self._useful_responses = 0  # number since the last update
         self._observed_time = 0.0  # ms over which the goodput is averaged, at most the window
         self._goodput = 0.0  # useful responses per ms
         self._peak_goodput = 0.0  # decaying peak of the goodput, or of the send rate of growing traffic
         self._latency_samples = 0.0  # responses over which the mean latency is averaged
-        self._late_ratio = 1.0  # moving share of late responses and timeouts
+        self._late_ratio = 1.0  # share of late responses and timeouts, moving average
         # Decaying peak of the attempts in flight while almost all responses are in time.
         self._sustained_concurrency = 0.0
 
@@ -129,7 +129,8 @@
             self._peak_goodput = max(self._peak_goodput, send_rate)
 
     def _update_sustained_concurrency(self, elapsed: float, in_flight: float, nominal: float) -> None:
-        # Traffic that is served in time is no overload, even if this node has more than its share of it.
+        # Traffic that is served in time does not count as overload, even if this node has more than its
+        # share of it.
         in_time = self._late_ratio < MAX_LATE_RATIO
         self._sustained_concurrency *= 1 - elapsed / (self._peak_window if in_time else self._goodput_window)
         if in_time:
--- a/load_balancer/policy/failure_ratio.py
+++ b/load_balancer/policy/failure_ratio.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-WINDOW_TIME = 4000.0  # ms over which recorded attempts decay
-WINDOW_ATTEMPTS = 33.0  # attempts over which earlier attempts decay
-WINDOW_SHED_REQUESTS = 100.0  # requests shed by this node over which recorded attempts decay
-PRIOR_SUCCESSES = 4.0  # assumed successful attempts, so that a few failures by chance are no overload
+WINDOW_TIME = 4000.0  # time constant in ms of the decay of the counts
+WINDOW_ATTEMPTS = 33.0  # each attempt decays the earlier counts by the share 1 / this
+WINDOW_SHED_REQUESTS = 100.0  # each request shed by this node decays the counts by the share 1 / this
+PRIOR_SUCCESSES = 4.0  # assumed successful attempts, so that a few chance failures don't count as overload
 MAX_DECAY = 0.5  # maximum share of the counts that one update removes, however long after the last one
 
 
@@ -13,7 +13,7 @@
     """Decaying counts of attempts and weighted failures, and their ratio.
 
     Args:
-        time_scale: Factor on the time over which attempts decay.
+        time_scale: Factor on WINDOW_TIME.
     """
 
     def __init__(self, time_scale: float) -> None:
--- a/load_balancer/policy/key_sequencing.py
+++ b/load_balancer/policy/key_sequencing.py
@@ -46,7 +46,7 @@
         self._changed_queues.append(queue)
 
     def request_finished(self, request: PendingRequest) -> None:
-        """Remove a request that has its final response from its queue."""
+        """Remove a request from its queue, once it has its final response."""
         if request.key_queue is not None:
             request.key_queue.waiting.remove(request)
             self._changed_queues.append(request.key_queue)
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -22,8 +22,10 @@
 SUCCESS_DECAY = 0.7  # factor by which a success reduces the failure ratio
 BASE_EJECTION_TIME = 2000.0  # ms; doubles with each recent ejection
 MAX_DOUBLINGS = 4
-EJECTION_JITTER = 0.25  # random share, plus or minus; keeps those ejected together from returning together
-MAX_EJECTED_SHARE = 0.34  # share of the subset; if more fail, the cause is not in the endpoints
+# Maximum share of the ejection time that is added or subtracted at random, so that endpoints ejected together
+# don't return together.
+EJECTION_JITTER = 0.25
+MAX_EJECTED_SHARE = 0.34  # share of the subset's endpoints; if more fail, the cause is not in them
 
 
 @dataclass(slots=True, frozen=True)
--- a/load_balancer/policy/pending_request.py
+++ b/load_balancer/policy/pending_request.py
@@ -39,7 +39,7 @@
     score: float
     """Priority score, 0 to 100."""
     key_queue: KeyQueue | None = None
-    """Queue of the request's key; None if its class is not sequential. Written by key_sequencing."""
+    """Queue of the request's key, or None if its class is not sequential. Written by key_sequencing."""
     # The fields below are written by retries.
     attempts_sent: int = 0
     """Number of attempts sent, which is also the number of the next one."""
--- a/load_balancer/policy/quotas.py
+++ b/load_balancer/policy/quotas.py
@@ -52,5 +52,5 @@
         return exceeded
 
     def drop_idle(self, now: float, idle_for: float) -> None:
-        """Drop buckets without a request for ``idle_for`` ms; by then nearly all of them have drained."""
+        """Drop buckets that got no request for ``idle_for`` ms, since nearly all of them have drained."""
         self._buckets = {t: b for t, b in self._buckets.items() if now - b.updated_at < idle_for}
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -16,7 +16,7 @@
 from load_balancer.policy.settings import DeduplicationScope, Idempotency, Settings
 
 OVERDUE_FACTOR = 4.0  # multiple of the typical latency after which an attempt is overdue
-COST_HINT_FACTOR = 2  # multiple of the cost hint that replaces a shorter typical latency
+COST_HINT_FACTOR = 2  # this multiple of the cost hint replaces the typical latency if that is shorter
 MIN_ATTEMPT_TICKS = 2  # shortest expected duration of an attempt, in clock ticks
 MIN_LATENCY_SHARE = 0.5  # shortest expected duration of an attempt, as a share of the typical latency
 CONNECT_FAILURE_GAIN = 0.1  # weight of a new attempt in the moving average of failed connections
@@ -36,7 +36,7 @@
         self._never_ran = NEVER_RAN
         if settings.rejected_may_have_run:
             self._never_ran = NEVER_RAN - {AttemptResult.REJECTED}
-        self._connect_failures = 0.0  # moving share of attempts without a connection, 0 to 1
+        self._connect_failures = 0.0  # share of attempts without a connection, moving average, 0 to 1
 
     def useful_until(self, request: PendingRequest) -> float:
         """Return the time on the policy's clock, ms, after which a response has no value."""
@@ -53,7 +53,8 @@
             typical_latency: Typical latency of the request's class, ms.
             requests_ahead: Number of requests of the same key that run before it.
         """
-        # Includes the queue: a request that can't be served in time is rejected at once, not at its deadline.
+        # This includes the time in the queue, so a request that can't be served in time is rejected at once,
+        # not at its deadline.
         queue_time = (MIN_LATENCY_SHARE + requests_ahead) * typical_latency
         return self.useful_until(request) - max(
             queue_time, request.arrival.cost_hint, MIN_ATTEMPT_TICKS * self._settings.tick
--- a/load_balancer/policy/settings.py
+++ b/load_balancer/policy/settings.py
@@ -108,7 +108,7 @@
     connect_timeout: float = 0.0
     """Maximum time in ms for establishing a connection."""
     max_retry_after: float = 0.0
-    """Maximum Retry-After in ms for rejected clients; 0 for none."""
+    """Maximum Retry-After in ms for rejected clients, or 0 for no Retry-After."""
     rejected_may_have_run: bool = False
     """Whether endpoints may reject requests that they have already begun to execute."""
     cross_zone_cost: float = 0.0
--- a/load_balancer/policy/time_scale.py
+++ b/load_balancer/policy/time_scale.py
@@ -8,7 +8,7 @@
 
 from load_balancer.policy.settings import Settings
 
-REFERENCE_OBJECTIVE = 400.0  # ms; latency objective that the unscaled time constants are for
+REFERENCE_OBJECTIVE = 400.0  # ms; latency objective from which the time constants are not scaled
 
 
 def time_scale(settings: Settings) -> float:
--- a/load_balancer/policy/tracked_endpoint.py
+++ b/load_balancer/policy/tracked_endpoint.py
@@ -50,7 +50,7 @@
     slow_start: SlowStartBudget
     """Written by slow_start."""
     class_health: list[ClassHealth]
-    """By request class; written by outliers."""
+    """Health by request class; written by outliers."""
     attempts: dict[AttemptKey, AttemptInFlight] = field(default_factory=dict)
     """Attempts without a result; written by endpoint_registry."""
     last_answered_sent_at: float = 0.0
