--- a/load_balancer/proxy/policy_runner.py
+++ b/load_balancer/proxy/policy_runner.py
@@ -77,6 +77,6 @@
         try:
             self.handlers[type(command)](command)
         except Exception:
-            logger.warning("exception while command %s was executed", type(command).__name__, exc_info=True)
+            logger.warning("exception while executing command %s", type(command).__name__, exc_info=True)
             if isinstance(command, SendAttempt | RejectRequest | FailRequest):
                 self._on_failure(command.request_id)
--- a/load_balancer/settings_decoder.py
+++ b/load_balancer/settings_decoder.py
@@ -40,7 +40,7 @@
     try:
         return _decode_object(raw)
     except KeyError as error:
-        raise SettingsError(f"settings: {error} is a missing field or an unknown value") from None
+        raise SettingsError(f"settings: {error}: missing field or unknown value") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise SettingsError(f"settings: {error}") from None
 
--- a/load_balancer/simulator/batch_decoder.py
+++ b/load_balancer/simulator/batch_decoder.py
@@ -98,7 +98,8 @@
         tail_start = BATCH_HEADER.size + count * EVENT_SIZE
         if length != len(frame) or tail_start > length:
             raise WireError(
-                f"batch {number}: {count} records do not fit into the frame, or it is not {length} bytes long"
+                f"batch {number}: {count} records do not fit into the frame, "
+                f"or the frame does not have the {length} bytes given in its header"
             )
         reader = _RecordReader(frame, number, tail_start, self._endpoint_lists)
         return Batch(number, now, reader.read_all())
@@ -120,7 +121,8 @@
     def read_all(self) -> list[InstanceEvents]:
         """Decode all records in order, since a record may refer to an endpoint list in an earlier one."""
         groups: list[InstanceEvents] = []
-        events: list[InstanceEvent] | None = None  # of the selected instance; None before the first selection
+        # Events of the selected instance, or None before the first selection.
+        events: list[InstanceEvent] | None = None
         frame = self.frame
         for offset in range(BATCH_HEADER.size, self.tail_start, EVENT_SIZE):
             code = frame[offset]
@@ -214,7 +216,7 @@
 
 
 def _result_error(reader: _RecordReader, offset: int, result_code: int, count: int) -> WireError:
-    return reader.error(offset, f"unknown result {result_code} or load report length {count}")
+    return reader.error(offset, f"result {result_code} is unknown, or the load report is too long: {count}")
 
 
 def _decode_endpoints_updated(reader: _RecordReader, offset: int) -> EndpointUpdate:
--- a/load_balancer/simulator/reply_encoder.py
+++ b/load_balancer/simulator/reply_encoder.py
@@ -30,7 +30,7 @@
     pack_write_log,
 )
 
-NO_INSTANCE = -1  # none has been selected yet
+NO_INSTANCE = -1  # value of the selected instance before the first selection
 
 
 class TailReference(NamedTuple):
