--- a/load_balancer/proxy/client_connection.py
+++ b/load_balancer/proxy/client_connection.py
@@ -16,7 +16,7 @@
 from load_balancer.proxy.request_parser import RequestParser
 from load_balancer.proxy.request_validation import RequestValidator
 
-MAX_QUEUED_REQUESTS = 8  # pipelined requests per connection, at which parsing and reading pause
+MAX_QUEUED_REQUESTS = 8  # per connection; with this many pipelined requests, parsing and reading pause
 PARSE_CHUNK_SIZE = 4096  # bytes parsed at a time, since a single read may hold hundreds of requests
 
 
@@ -76,19 +76,20 @@
         self._handler = handler
         self._on_lost = on_lost
         self._request_in_flight: ClientRequest | None = None
-        self._response_pending = False  # to a request, a health check or an invalid request
+        self._response_pending = False  # whether a valid or invalid request or a health check awaits one
         self._keep_alive = True  # whether the client wants the connection kept open after the response
         self._in_serve_loop = False
-        self._input_closed = False  # further input is discarded
-        self._request_incomplete = False  # a part of a request has been received
-        self._has_received_request = False  # complete ones only
+        self._input_closed = False  # whether further input is discarded
+        self._request_incomplete = False  # whether only a part of a request has been received
+        self._has_received_request = False  # whether a complete request has been received
         self._request_started_at = 0.0  # s on the loop's clock; for the first request, time of connection
 
     # Connection events.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Initialize the parser and the state; the connection waits for its first request."""
-        # A cast, since uvloop's transports are not subclasses of asyncio's. They set TCP_NODELAY themselves.
+        # The cast is needed, since uvloop's transports are not subclasses of asyncio's. They set TCP_NODELAY
+        # themselves.
         self.transport = cast(asyncio.Transport, transport)
         self._parser = RequestParser(self._validator, self)
         self._file_descriptor = transport.get_extra_info("socket").fileno()
--- a/load_balancer/proxy/connection_table.py
+++ b/load_balancer/proxy/connection_table.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from load_balancer.proxy.client_connection import ClientConnection
 
-_MANY_IDLE_DIVISOR = 3  # idle connections are many if they are at least a third of the limit
+_MANY_IDLE_DIVISOR = 3  # has_many_idle is true from limit // this idle connections on
 
 
 class ConnectionState(IntEnum):
--- a/load_balancer/proxy/eviction.py
+++ b/load_balancer/proxy/eviction.py
@@ -5,9 +5,13 @@
 from load_balancer.proxy.client_connection import ClientConnection
 from load_balancer.proxy.connection_table import ConnectionState, ConnectionTable
 
-NEW_CONNECTION_GRACE_S = 0.05  # by then, the first bytes of a new client have been read
-SLOW_REQUEST_AGE_S = 0.3  # by then, a request is complete unless its client is slow or never completes it
-UNUSED_IDLE_AGE_S = 2.0  # by then, an idle connection is unlikely to be used again
+# Minimum time in CONNECTED or CLOSING before eviction; the first bytes of a new client are read sooner.
+NEW_CONNECTION_GRACE_S = 0.05
+# Minimum time in RECEIVING before eviction; a request is complete sooner, unless its client is slow or never
+# completes it.
+SLOW_REQUEST_AGE_S = 0.3
+# Time in IDLE after which a connection is unlikely to be used again; those idle for less are evicted last.
+UNUSED_IDLE_AGE_S = 2.0
 
 _MAY_HAVE_UNREAD_REQUEST = frozenset({ConnectionState.CONNECTED, ConnectionState.IDLE})
 
--- a/load_balancer/proxy/graceful_shutdown.py
+++ b/load_balancer/proxy/graceful_shutdown.py
@@ -9,7 +9,9 @@
 from load_balancer.proxy.listener import Listener
 from load_balancer.proxy.request_tracker import RequestTracker
 
-ACCEPT_PERIOD_S = 0.6  # after SIGTERM: new connections arrive until the front end's health check fails
+# Time after SIGTERM in which connections are accepted: new ones arrive until the front end's health check
+# fails.
+ACCEPT_PERIOD_S = 0.6
 # By the protocol, SIGKILL follows SIGTERM after at least SIGKILL_DELAY_MS plus the longest deadline or
 # SIGKILL_MAX_DEADLINE_MS, whichever is shorter.
 SIGKILL_DELAY_MS = 700.0
--- a/load_balancer/proxy/listener.py
+++ b/load_balancer/proxy/listener.py
@@ -17,13 +17,14 @@
 from load_balancer.proxy.eviction import NEW_CONNECTION_GRACE_S, ConnectionEvictor
 from load_balancer.proxy.request_validation import RequestValidator
 
-# To receive a request, counted from the connection's start for the first one, else from its first byte.
+# Time limit for receiving a request: from the start of the connection for the first request, and from the
+# first byte of the request for later ones.
 REQUEST_TIMEOUT_S = 2.0
 KEEP_ALIVE_TIMEOUT_S = 10.0  # maximum idle time between requests
-LINGER_TIMEOUT_S = 1.0  # to discard input after the last response, before the connection is closed
+LINGER_TIMEOUT_S = 1.0  # time after the last response in which input is discarded, before the close
 SWEEP_INTERVAL_S = 0.2
-ACCEPT_RETRY_DELAY_S = NEW_CONNECTION_GRACE_S  # by then, a new connection may be evicted
-ACCEPT_BATCH_SIZE = 64  # per iteration of the event loop, so that open connections are served too
+ACCEPT_RETRY_DELAY_S = NEW_CONNECTION_GRACE_S  # a connection too new to evict can be evicted after this time
+ACCEPT_BATCH_SIZE = 64  # connections per iteration of the event loop, so that open ones are served too
 LISTEN_BACKLOG = 1024  # connections that are not accepted yet
 
 logger = logging.getLogger(__name__)
@@ -142,7 +143,7 @@
         connection = ClientConnection(
             self.connections, self._validator, self._handler, self._on_connection_lost
         )
-        # Counted before it is attached to the loop, so that a batch can't exceed the limit.
+        # The connection is counted before it is attached to the loop, so that a batch can't exceed the limit.
         self.connections.add(connection)
         self.loop.create_task(self._attach(client_socket, connection))
         return True
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -50,9 +50,11 @@
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 from load_balancer.proxy.upstream_pool import PoolLimits, UpstreamPool
 
-RESERVED_DESCRIPTORS = 32  # for the event loop, the listener, discovery, files and sockets being closed
-MIN_CONNECTIONS = 30  # to clients and upstreams together
-# Less than half: a request in flight needs one connection on each side, but clients also hold idle ones.
+# File descriptors for the event loop, the listener, discovery, files and sockets that are being closed.
+RESERVED_DESCRIPTORS = 32
+MIN_CONNECTIONS = 30  # minimum number of connections to clients and upstreams together
+# This is less than half: a request in flight needs one connection on each side, but clients also hold idle
+# ones.
 UPSTREAM_CONNECTION_SHARE = 3 / 8
 # Time from the previous process's kill to this one's start; the cached endpoint list may be this old.
 RESTART_DURATION_MS = 3000.0
@@ -196,7 +198,7 @@
         self.pool.cancel(command.request_id, command.attempt)
 
     def _set_timer(self, command: SetTimer) -> None:
-        # Rounded up: a timer that fires early would find nothing due and be set again at once.
+        # The delay is rounded up: a timer that fires early would find nothing due and be set again at once.
         delay = math.ceil(command.delay) / 1000
         self.loop.call_later(delay, self.policy_runner.submit, TimerFired(command.token))
 
@@ -227,7 +229,7 @@
     # AttemptHandler: called by the upstream pool.
 
     def find_target(self, endpoint_id: int) -> UpstreamTarget:
-        """Return the target of an endpoint in the current endpoint list.
+        """Return the ``UpstreamTarget`` of an endpoint in the current endpoint list.
 
         Raises:
             KeyError: The list has no such endpoint.
@@ -261,8 +263,8 @@
         ended = AttemptEnded(
             request_id, attempt.upstream.endpoint_id, request_ended, result, attempt.number, elapsed
         )
-        # Queued before the response is written, which may start the client's next request. Otherwise the
-        # policy would handle that request while it still counts this attempt as in flight.
+        # The event is queued before the response is written, which may start the client's next request.
+        # Otherwise the policy would handle that request while it still counts this attempt as in flight.
         self.policy_runner.enqueue(ended)
         if pending is not None and response is not None:
             requests.forward_response(pending, response)
@@ -300,7 +302,7 @@
             return
         self.healthy = True
         self.discovery.resume_from(version)
-        # Submitted after the list, since each DELTA tells the policy that discovery is available.
+        # This event follows the list, since each DELTA tells the policy that discovery is available.
         last_contact_at = now_ms() - RESTART_DURATION_MS
         self.policy_runner.submit(EndpointUpdate(UpdateKind.UNAVAILABLE, version, [], last_contact_at))
 
