--- a/load_balancer/proxy/config.py
+++ b/load_balancer/proxy/config.py
@@ -23,7 +23,7 @@
 # reachable, whether or not the node has received it.
 NOTIFIED_AFTER_S = 6.0
 LOOP_DELAY_ALLOWANCE_MS = 100.0  # margin for callbacks that the event loop runs late
-MAX_BYTES_PER_ENDPOINT = 200  # of memory; half of it is in use only while a snapshot is decoded
+MAX_BYTES_PER_ENDPOINT = 200  # memory per endpoint; half of it is in use only while a snapshot is decoded
 ENDPOINTS_MEMORY_SHARE = 0.3  # share of the node's memory that the endpoint list may take
 DEFAULT_MEMORY_MB = 64  # MB of 2**20 bytes, as in the configuration file
 
@@ -43,7 +43,7 @@
     max_descriptors: int
     """Maximum number of open file descriptors of the process."""
     load_cached_endpoints: Callable[[UpdateBuilder], DiscoveryUpdate | None] | None
-    """Reads the endpoint list that the node had before its restart; None if there is no such list."""
+    """Reads the endpoint list that the node had before its restart, or None if there is no such list."""
     settings: Settings
     """Settings of the policy."""
     classes: dict[bytes, int]
--- a/load_balancer/proxy/discovery_client.py
+++ b/load_balancer/proxy/discovery_client.py
@@ -22,11 +22,11 @@
 # The node must learn of a change within NOTIFIED_AFTER_S even if a timeout ends the current call. So each
 # timeout below + the longest backoff delay + QUEUE_TIMEOUT_S for the next call must not exceed that limit.
 QUEUE_TIMEOUT_S = 2.0  # discovery handles one call at a time, and fails those that wait longer than this
-WATCH_IDLE_TIMEOUT_S = 3.2  # without a complete line; discovery sends at least one every 2 s
+WATCH_IDLE_TIMEOUT_S = 3.2  # time without a complete line; discovery sends at least one every 2 s
 CONNECT_TIMEOUT_S = 1.5
 FIRST_BYTE_TIMEOUT_S = 2.5  # above QUEUE_TIMEOUT_S, since a repeated call goes to the end of the queue
-SNAPSHOT_READ_TIMEOUT_S = 1.5  # for each read after the first
-SNAPSHOT_TIMEOUT_S = 3.0  # for the whole snapshot
+SNAPSHOT_READ_TIMEOUT_S = 1.5  # limit for each read after the first
+SNAPSHOT_TIMEOUT_S = 3.0  # limit for the whole snapshot, plus its transfer time at MIN_TRANSFER_RATE
 NOTIFIED_AFTER_RELOAD_S = 4.0  # replaces NOTIFIED_AFTER_S after a change of discovery's address
 
 BACKOFF_INITIAL_S = 0.05
@@ -75,16 +75,16 @@
         max_backoff: float = BACKOFF_MAX_S,
     ) -> None:
         self.address = address
-        self.version: int | None = None  # of the current list; None if a snapshot is needed
+        self.version: int | None = None  # version of the current list, or None if a snapshot is needed
         self.last_contact_at = now_ms()
         self.is_failing = False
         self._new_decoder = new_decoder
         self._on_update = on_update
         self._on_availability_change = on_availability_change
         self._backoff = Backoff(BACKOFF_INITIAL_S, max_backoff, BACKOFF_JITTER, rng)
-        self._newest_version: int | None = None  # of the last update from this address
+        self._newest_version: int | None = None  # version of the last update from this address
         self._stale_snapshots = 0  # consecutive snapshots below the newest version
-        self._rejected_updates = 0  # since a watch was last stable
+        self._rejected_updates = 0  # number of rejections since a watch was last stable
         self._last_failure_reason = ""
         self._task: asyncio.Task[None] | None = None
 
@@ -138,7 +138,8 @@
             await asyncio.sleep(self._backoff.next_delay(maximum))
 
     def _record_failure(self, reason: str) -> None:
-        # Logs the first of a series of failures, and each rejection whose reason differs from the last one.
+        # Only the first of a series of failures is logged, and each rejection whose reason differs from the
+        # last one.
         if not self.is_failing or (self._rejected_updates and reason != self._last_failure_reason):
             host, port = self.address
             logger.warning("discovery at %s:%d: %s; keeping the current endpoint list", host, port, reason)
--- a/load_balancer/proxy/discovery_response.py
+++ b/load_balancer/proxy/discovery_response.py
@@ -40,8 +40,8 @@
         self._reader = reader
         self._timeouts = timeouts
         self._parser = httptools.HttpResponseParser(self)
-        self._body = bytearray()  # received, and not yet returned by read
-        self._received_bytes = 0  # of the body
+        self._body = bytearray()  # the part of the body that read has not returned yet
+        self._received_bytes = 0  # bytes of the body received so far
         self._clock = asyncio.get_running_loop().time
         self._next_read_timeout = timeouts.first_byte
         self.start_message()
--- a/load_balancer/proxy/endpoint_decoder.py
+++ b/load_balancer/proxy/endpoint_decoder.py
@@ -86,7 +86,7 @@
         self._fields: dict[str, Any] = {}  # top-level fields of the update, without the entries
         self._rows = EndpointRowTable()
         self._first_entries: list[str] = []
-        self._duplicate_name: str | None = None  # of the first endpoint that is listed twice
+        self._duplicate_name: str | None = None  # name of the first endpoint listed twice
         self._entry_count: int | None = None  # None until the array of entries begins
 
     @property
--- a/load_balancer/proxy/endpoint_directory.py
+++ b/load_balancer/proxy/endpoint_directory.py
@@ -61,7 +61,7 @@
             self._rows.put(endpoint_id, *row)
 
     def target(self, endpoint_id: int) -> UpstreamTarget:
-        """Return the target for connections to an endpoint.
+        """Return what connections to an endpoint depend on: its address, state and start time.
 
         Raises:
             KeyError: The endpoint is not in the list.
@@ -69,7 +69,7 @@
         return self.decode_target(self.get(endpoint_id))
 
     def decode_target(self, row: EndpointRow) -> UpstreamTarget:
-        """Return the target that a row describes; its endpoint need not be in the current list."""
+        """Return the same fields from a row, whose endpoint need not be in the current list."""
         return UpstreamTarget(self._addresses.decode(row.address), EndpointState(row.state), row.started_at)
 
     def zone_number(self, name: str) -> int:
--- a/load_balancer/proxy/endpoint_updater.py
+++ b/load_balancer/proxy/endpoint_updater.py
@@ -20,8 +20,8 @@
 from load_balancer.proxy.errors import EndpointListError
 from load_balancer.proxy.upstream_pool import UpstreamPool
 
-CHANGES_PER_SLICE = 50  # changed endpoints
-ROWS_PER_SLICE = 500  # compared rows, whether changed or not
+CHANGES_PER_SLICE = 50  # maximum number of changed endpoints
+ROWS_PER_SLICE = 500  # maximum number of compared rows, whether changed or not
 
 logger = logging.getLogger(__name__)
 
@@ -56,7 +56,7 @@
         """Apply the cached endpoint list from the configuration file.
 
         Args:
-            read: Reads the cached list with a builder; returns None if the list is empty.
+            read: Reads the cached list with a builder, and returns None if the list is empty.
 
         Returns:
             The version of the list, or None if it is empty or malformed; a malformed list is logged.
--- a/load_balancer/proxy/idle_timeout.py
+++ b/load_balancer/proxy/idle_timeout.py
@@ -9,8 +9,8 @@
 # Subtracted from the configured timeout, so that no request is sent while the upstream closes the connection.
 CLOSE_RACE_MARGIN_MS = 2000.0
 MIN_OBSERVED_IDLE_MS = 100.0  # resets after a shorter idle time have other causes
-RESETS_BEFORE_LOWERING = 2  # consecutive; a single reset may be chance
-GROWTH_FACTOR = 1.1  # per call of ``grow``
+RESETS_BEFORE_LOWERING = 2  # consecutive resets that lower the timeout; a single one may be chance
+GROWTH_FACTOR = 1.1  # factor on the timeout per call of ``grow``
 
 
 class AdaptiveIdleTimeout:
--- a/load_balancer/proxy/log_rate_limit.py
+++ b/load_balancer/proxy/log_rate_limit.py
@@ -12,7 +12,7 @@
     """The state of the rate limit for one message."""
 
     last_logged_at: float = -math.inf
-    """Unix time in s at which a warning was logged last."""
+    """Unix time in s at which a warning was last logged."""
     suppressed: int = 0
     """Number of warnings suppressed since then."""
 
--- a/load_balancer/proxy/response_parser.py
+++ b/load_balancer/proxy/response_parser.py
@@ -40,7 +40,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._body = bytearray()
         self._content_type = b""
-        self._head_complete = False  # of the final response, not of an informational one
+        self._head_complete = False  # whether the head of the final response has ended
         self._informational_count = 0
         self.bytes_received = 0
         self.complete = False
@@ -84,7 +84,8 @@
         """Return the complete response."""
         return UpstreamResponse(self._parser.get_status_code(), bytes(self._body), self._content_type)
 
-    # Callbacks of httptools. If one raises a ValueError, ``feed_data`` raises an HttpParserError.
+    # Callbacks of httptools. If one raises a ValueError, ``feed_data`` raises an HttpParserError. The log
+    # shows the message that httptools gives that error; the ValueError is only its context.
 
     def on_message_begin(self) -> None:
         """Start a new message, informational or final; after a complete response it is excess data."""
@@ -100,7 +101,7 @@
         if self.complete:
             return
         lower = name.lower()
-        # Checked before the body arrives, since the upstream may never send all of it.
+        # This is checked before the body arrives, since the upstream may never send all of it.
         if lower == b"content-length" and int(value) > MAX_BODY_SIZE:
             raise ValueError("Content-Length too large")
         if lower == b"not-started":
--- a/load_balancer/proxy/upstream.py
+++ b/load_balancer/proxy/upstream.py
@@ -16,7 +16,8 @@
 REUSE_DELAY_MS = 20.0
 
 
-# Not frozen: creating a frozen instance takes three times as long, and each entry of a list creates one.
+# The class is not frozen, since creating a frozen instance takes three times as long, and each entry of a
+# list creates one.
 @dataclass(slots=True)
 class UpstreamTarget:
     """The fields of an endpoint list entry that its connections depend on. Instances are never modified."""
--- a/load_balancer/proxy/upstream_connection.py
+++ b/load_balancer/proxy/upstream_connection.py
@@ -19,7 +19,7 @@
 from load_balancer.proxy.upstream import Upstream
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 
-# Plain integers: looking up members of HTTPStatus is slow on the request path.
+# These are plain integers, since looking up members of HTTPStatus is slow on the request path.
 STATUS_OK = HTTPStatus.OK.value
 # Together with the header "Not-Started: 1", these prove that the request did not run.
 REJECTION_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value)
@@ -94,7 +94,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport, and register its socket for ``is_reusable``."""
-        # A cast, since uvloop's transports do not derive from asyncio's. uvloop sets TCP_NODELAY itself.
+        # The cast is needed, since uvloop's transports are not subclasses of asyncio's. They set TCP_NODELAY
+        # themselves.
         self.transport = cast(asyncio.Transport, transport)
         self.fd = transport.get_extra_info("socket").fileno()
         self._poll.register(self.fd, select.POLLIN)
@@ -104,8 +105,8 @@
         self.release_parser()
         self._owner.remove_connection(self)
         if (attempt := self.attempt) is not None:
-            # Never CONNECT_FAILED: even if the transport's buffer still holds data, the upstream may have
-            # received the request and run it.
+            # The result is never CONNECT_FAILED: even if the transport's buffer still holds data, the
+            # upstream may have received the request and run it.
             self.attempt = None
             alive = self._parser.bytes_received > 0
             self._owner.idle_timeout.record_reuse(self._idle_before_attempt_ms, alive)
@@ -176,5 +177,5 @@
             self._owner.release_connection(self)
         else:
             self.transport.close()
-        # Last, since it may start the request's next attempt or another request.
+        # This call is the last, since it may start the request's next attempt or another request.
         self._owner.end_attempt(attempt, attempt_result(response.status, parser.not_started), response)
--- a/load_balancer/proxy/upstream_pool.py
+++ b/load_balancer/proxy/upstream_pool.py
@@ -17,7 +17,7 @@
 from load_balancer.proxy.upstream_attempt import UpstreamAttempt
 from load_balancer.proxy.upstream_connection import UpstreamConnection
 
-# Time from an attempt's deadline to its abort, in which the event loop reads its sockets once more.
+# Time from an attempt's deadline to its abort, so that the event loop reads all sockets once more.
 LAST_READ_DELAY_S = 0.001
 REAP_INTERVAL_S = 1.0
 
@@ -47,7 +47,7 @@
     """Methods of the node that the pool calls."""
 
     def find_target(self, endpoint_id: int) -> UpstreamTarget:
-        """Return the target of an endpoint in the current endpoint list.
+        """Return the ``UpstreamTarget`` of an endpoint in the current endpoint list.
 
         Raises:
             KeyError: The list has no such endpoint.
@@ -250,8 +250,8 @@
         if not self.handler.check_client_before_send(attempt):
             connection.transport.abort()
             return
-        # Not added in connection_made: if connecting is cancelled just as it completes, uvloop closes the
-        # connection without calling connection_lost, so it would count towards the limit forever.
+        # This is not done in connection_made: if connecting is cancelled just as it completes, uvloop closes
+        # the connection without calling connection_lost, so it would count towards the limit forever.
         self.connections.add(connection)
         connection.send(attempt)
 
