--- a/load_balancer/policy/affinity.py
+++ b/load_balancer/policy/affinity.py
@@ -1,4 +1,4 @@
-"""Key affinity: sends requests with the same key to the same endpoints, which have it cached.
+"""Key affinity: sends requests with the same key to the same endpoints, which cache the data of that key.
 
 Keys are mapped to endpoints by a consistent hash ring.
 """
--- a/load_balancer/policy/endpoints.py
+++ b/load_balancer/policy/endpoints.py
@@ -26,4 +26,4 @@
     weight: float
     """Relative capacity; with a plausible mean over all endpoints, the requests that it serves at once."""
     started_at: float
-    """Time of the last start in ms on the policy's clock; 0 if it was long ago."""
+    """Time of the last start in ms on the policy's clock, or 0 if it was long ago."""
--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -87,7 +87,7 @@
         self.settings = settings
         self._now = 0.0
         self._commands: list[Command] = []
-        self._requests: dict[int, PendingRequest] = {}  # by id, until their final response
+        self._requests: dict[int, PendingRequest] = {}  # those without a final response, by id
         self.unserved_counts: Counter[str] = Counter()
         """Number of requests ended for each ``UnservedReason``; whoever reports the counts clears them."""
         self._create_components(random.Random(seed))
--- a/load_balancer/policy/events.py
+++ b/load_balancer/policy/events.py
@@ -56,7 +56,7 @@
     """Version of the endpoint list."""
     endpoints: list[Endpoint]
     last_contact_at: float | None = None
-    """Time in ms of the last contact with discovery, for UNAVAILABLE and CACHED_SNAPSHOT; None means now."""
+    """For UNAVAILABLE and CACHED_SNAPSHOT: time in ms of the last contact with discovery, or None for now."""
 
 
 @dataclass(slots=True)
@@ -69,11 +69,11 @@
     deadline: float
     """Time after which the client no longer waits for a response."""
     key: int = 0
-    """Hash of the key for affinity and sequencing; 0 if there is none. Not an idempotency key."""
+    """Hash of the key for affinity and sequencing, or 0 if there is none. Not an idempotency key."""
     tenant: int = 0
     """Index into ``Settings.tenant_quotas``."""
     cost_hint: float = 0.0
-    """Expected processing time in ms; 0 if unknown."""
+    """Expected processing time in ms, or 0 if unknown."""
     is_client_retry: bool = False
 
 
--- a/load_balancer/policy/overload.py
+++ b/load_balancer/policy/overload.py
@@ -66,7 +66,7 @@
         return weight
 
     def _failure_weight(self, result: AttemptResult, elapsed: float, typical_latency: float) -> float:
-        """Return a failure's weight as a sign of overload, 0 to 1; 0 if it put no load on an endpoint."""
+        """Return a failure's weight as a sign of overload: 0 if it put no load on an endpoint, at most 1."""
         if result is AttemptResult.CONNECT_FAILED:
             return 0.0
         if result in (AttemptResult.ERROR, AttemptResult.RESET):
--- a/load_balancer/policy/staleness.py
+++ b/load_balancer/policy/staleness.py
@@ -47,7 +47,7 @@
 
         Args:
             kind: Kind of the update.
-            last_contact_at: Time in ms of the last contact with discovery, if that is lost; None for ``now``.
+            last_contact_at: Time in ms of the last contact with discovery, once lost, or None for ``now``.
             now: Time on the policy's clock, ms.
 
         Returns:
--- a/load_balancer/policy/subsetting.py
+++ b/load_balancer/policy/subsetting.py
@@ -22,8 +22,8 @@
 # sizes of arcs with n endpoints on average vary by a fraction of about 1 / sqrt(n), so arcs are larger than
 # ranges, and more nodes share each of them.
 MIN_NODES_PER_ARC = 12
-MIN_ARC_ENDPOINTS = 48  # on average over all arcs
-MAX_ARC_ENDPOINTS = 2000  # on average over all arcs, before their count is rounded down
+MIN_ARC_ENDPOINTS = 48  # endpoints per arc, on average over all arcs
+MAX_ARC_ENDPOINTS = 2000  # endpoints per arc, on average over all arcs, before their count is rounded down
 ARC_COUNTS_PER_DOUBLING = 4  # permitted arc counts: few, so that the count rarely changes with the fleet size
 HASH_BITS = 64
 
--- a/load_balancer/policy/time_scale.py
+++ b/load_balancer/policy/time_scale.py
@@ -8,7 +8,7 @@
 
 from load_balancer.policy.settings import Settings
 
-REFERENCE_OBJECTIVE = 400.0  # ms; latency objective from which the time constants are not scaled
+REFERENCE_OBJECTIVE = 400.0  # ms; from this latency objective on, the time constants are not scaled
 
 
 def time_scale(settings: Settings) -> float:
--- a/load_balancer/policy/working_set.py
+++ b/load_balancer/policy/working_set.py
@@ -1,4 +1,4 @@
-"""The endpoints that this node uses: its subset, and the endpoints of the subset in its zone."""
+"""The endpoints that this node uses: its subset, and those of the subset in the node's zone."""
 
 from __future__ import annotations
 
--- a/load_balancer/proxy/backoff.py
+++ b/load_balancer/proxy/backoff.py
@@ -28,7 +28,7 @@
         """Return the delay in s before the next retry.
 
         Args:
-            maximum: Limit in s, before jitter, for the delay after this one; None for the usual maximum.
+            maximum: Limit in s, before jitter, for the delay after this one, or None for the usual maximum.
         """
         delay = self._delay * self._rng.uniform(*self._jitter)
         self._delay = min(2 * self._delay, self.maximum if maximum is None else maximum)
--- a/load_balancer/proxy/client_connection.py
+++ b/load_balancer/proxy/client_connection.py
@@ -64,7 +64,7 @@
     ) -> None:
         self.state = ConnectionState.DISCONNECTED
         self.request_id = 0
-        """Id of the request in flight, set by the handler; 0 if there is none."""
+        """Id of the request in flight, set by the handler, or 0 if there is none."""
         self.queue: deque[QueuedItem] = deque()
         self.unparsed = b""
         """Data received while the queue was full."""
--- a/load_balancer/proxy/client_request.py
+++ b/load_balancer/proxy/client_request.py
@@ -17,15 +17,15 @@
     class_index: int
     """Index of the request class in the settings."""
     tenant: int
-    """Index of the tenant in the settings; 0 if they list no tenants."""
+    """Index of the tenant in the settings, or 0 if they list no tenants."""
     key: int
-    """Hash of the last path segment, the same on every node; 0 if that is empty or the class name."""
+    """Hash of the last path segment, the same on every node, or 0 if that is empty or the class name."""
     received_at: float
     """Time in ms on the node's clock; approximates the time of sending, which the node can't know."""
     timeout: float
     """Time in ms after ``received_at`` at which the client gives up."""
     cost_hint: float
-    """Processing time in ms that the client expects; 0 if unknown."""
+    """Processing time in ms that the client expects, or 0 if unknown."""
     is_client_retry: bool
     keep_alive: bool
     """Whether the client wants the connection kept open after the response."""
--- a/load_balancer/proxy/connection_table.py
+++ b/load_balancer/proxy/connection_table.py
@@ -82,7 +82,7 @@
         Args:
             connection: Connection whose state is set.
             state: New state.
-            since: Start time in s, from which the connection's time in the state counts; None for now.
+            since: Start time in s, from which the connection's time in the state counts, or None for now.
         """
         if state is connection.state:
             return
--- a/load_balancer/proxy/discovery_client.py
+++ b/load_balancer/proxy/discovery_client.py
@@ -24,7 +24,7 @@
 QUEUE_TIMEOUT_S = 2.0  # discovery handles one call at a time, and fails those that wait longer than this
 WATCH_IDLE_TIMEOUT_S = 3.2  # time without a complete line; discovery sends at least one every 2 s
 CONNECT_TIMEOUT_S = 1.5
-FIRST_BYTE_TIMEOUT_S = 2.5  # above QUEUE_TIMEOUT_S, since a repeated call goes to the end of the queue
+FIRST_BYTE_TIMEOUT_S = 2.5  # it exceeds QUEUE_TIMEOUT_S, since a repeated call goes to the end of the queue
 SNAPSHOT_READ_TIMEOUT_S = 1.5  # limit for each read after the first
 SNAPSHOT_TIMEOUT_S = 3.0  # limit for the whole snapshot, plus its transfer time at MIN_TRANSFER_RATE
 NOTIFIED_AFTER_RELOAD_S = 4.0  # replaces NOTIFIED_AFTER_S after a change of discovery's address
@@ -138,7 +138,7 @@
             await asyncio.sleep(self._backoff.next_delay(maximum))
 
     def _record_failure(self, reason: str) -> None:
-        # Only the first of a series of failures is logged, and each rejection whose reason differs from the
+        # The first of a series of failures is logged, and so is each rejection whose reason differs from the
         # last one.
         if not self.is_failing or (self._rejected_updates and reason != self._last_failure_reason):
             host, port = self.address
