--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -55,7 +55,7 @@
 HELP_TEXT = """Measures the node and its policy at the sizes of large fleets, on this machine alone.
 
 \b
-python -m benchmarks policy  # control work of the policy, 200 to 95,000 endpoints
+python -m benchmarks policy  # processor time of the policy, 200 to 95,000 endpoints
 python -m benchmarks node --sizes 200,95000  # a real node with a stub of discovery
 python -m benchmarks mass-restart --nodes 300 --call-ms 10 --unavailable-for 5
 python -m benchmarks subsetting  # how evenly the subsets cover 95,000 endpoints
@@ -75,7 +75,7 @@
 @numbers_option("--classes", "classes", "3,30,100,300")
 @json_option
 def policy_command(sizes: list[int], tenants: list[int], classes: list[int], file: str | None) -> None:
-    """Measure the policy's control work: processor time per call in ms, and its growth with size."""
+    """Measure the policy's processor time per operation in ms, its memory, and how both grow with size."""
     rows = _policy_rows("endpoints", sizes, policy_cost.fleet_costs)
     rows += _policy_rows("tenants", tenants, lambda count: [policy_cost.tenant_cost(count)])
     rows += _policy_rows("classes", classes, lambda count: [policy_cost.class_cost(count)])
@@ -195,7 +195,9 @@
         asdict(slow_start_chance.overload_chance(nodes, attempts, overload_factor, idle_windows))
         for nodes in node_counts
     ]
-    show_table("probability of more than N + 2 sqrt(N) + 2 attempts in one window", rows, file)
+    show_table(
+        "probability of more than N + 2 sqrt(N) + 2 attempts in one window (N: column allowed)", rows, file
+    )
 
 
 @main.command("subsetting")
--- a/benchmarks/child_process.py
+++ b/benchmarks/child_process.py
@@ -19,7 +19,7 @@
 from benchmarks.fleet import node_config, snapshot_chunks
 from benchmarks.stub_reports import StubListening, StubReport, decode_report
 
-POLL_INTERVAL = 0.01  # s
+POLL_INTERVAL = 0.01  # s between checks for new reports
 
 _Report = TypeVar("_Report", bound=StubReport)
 
@@ -94,11 +94,11 @@
 
     command: list[str]
     root: str
-    """Checkout from which the node is run; its working directory."""
+    """Checkout from which the node is run, and its working directory."""
     node_count: int
     """Number of nodes in the fleet, for the node's configuration."""
     cached_endpoints: int = 0
-    """Number of endpoints in the cached endpoint list in the node's configuration; 0 for no list."""
+    """Number of endpoints in the cached list in the node's configuration, or 0 if it has no such list."""
 
 
 @asynccontextmanager
--- a/benchmarks/discovery_stub.py
+++ b/benchmarks/discovery_stub.py
@@ -1,6 +1,6 @@
 """Stub of the discovery service: serves snapshots and watches, and generates a stream of changes.
 
-Runs as a separate process, so that its work is not counted as the node's. Takes its plan as JSON in the
+It runs as a separate process, so that its work is not counted as the node's. It takes its plan as JSON in the
 first argument, writes reports to standard output (see `stub_reports`), and exits when standard input ends.
 """
 
@@ -30,7 +30,7 @@
 
 HEARTBEAT_INTERVAL = 2.0  # s between empty lines on a watch without changes
 HEARTBEAT = b"\n"
-MAX_HISTORY = 5000  # past changes kept for watches; a watch of an older version gets a snapshot
+MAX_HISTORY = 5000  # past changes kept for watches; a watch from an older version gets a snapshot first
 ROLLOUT_INTERVAL = 1.0  # s between the steps of a rollout
 IDLE_CHANGE_INTERVAL = 3600.0  # s between checks when no periodic changes are planned
 LISTEN_BACKLOG = 4096  # connections
@@ -43,9 +43,9 @@
     endpoints: int
     changes_per_second: float = 1.0
     rollout_share: float = 0.0
-    """Share of the fleet that each step of a rollout restarts, once per second; 0 for no rollout."""
+    """Share of the fleet that a rollout restarts each second, or 0 if there is no rollout."""
     zone_lost_after: float | None = None
-    """Time from the start until all endpoints of one zone leave at once; None for never."""
+    """Time from the start until all endpoints of one zone leave at once, or None if they stay."""
     call_time: float = 0.0
     """Time to process a call; calls are processed one after the other."""
     max_wait: float = 2.0
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -53,7 +53,7 @@
 def policy_endpoint(
     number: int, state: EndpointState = EndpointState.READY, started: float = 0.0
 ) -> Endpoint:
-    """Return the same endpoint in the policy's form; `started` is in ms on the policy's clock."""
+    """Return the endpoint that `discovery_entry` describes; `started` is in ms on the policy's clock."""
     return Endpoint(
         id=stable_id(endpoint_name(number).encode()),
         zone=number % len(ZONES),
@@ -113,7 +113,7 @@
 def policy_settings(
     tenants: int = 8, classes: int = 3, node_index: int = 0, node_count: int = FLEET_NODES
 ) -> Settings:
-    """Return the same settings, decoded for the policy."""
+    """Return the settings of `raw_settings`, decoded for the policy."""
     raw = raw_settings(tenants, classes, node_index, node_count)
     return decode_settings(json.dumps(raw).encode())
 
--- a/benchmarks/health_poller.py
+++ b/benchmarks/health_poller.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-POLL_INTERVAL = 0.01  # s
+POLL_INTERVAL = 0.01  # s between polls
 MICROSECONDS_PER_S = 1e6
 MAX_LATENCY = 60_000_000  # µs, upper limit of the histogram
 SIGNIFICANT_DIGITS = 3
@@ -19,7 +19,7 @@
 
     def __init__(self, port: int) -> None:
         self.ready_at: float | None = None
-        """Unix time in s of the first response with status 200; None before that."""
+        """Unix time in s of the first response with status 200, or None if there was none yet."""
         self.paused = False
         """Whether polls are suspended."""
         self._port = port
--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -1,7 +1,7 @@
 """Runs many hollow nodes, which have a discovery client and a policy but no clients, in one process.
 
-Measures the load of a mass restart on discovery and on the machine, how soon all nodes have their endpoint
-list, and how soon a change of it is in force.
+Measures the load of a mass restart on discovery and on the machine, how soon all nodes have the first part
+of their endpoint list, and how soon a change of the list is in force.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from load_balancer.proxy.config import Config, decode_config
 from load_balancer.proxy.node import Node
 
-POLL_INTERVAL = 0.05  # s between checks whether all nodes have their endpoint list
+POLL_INTERVAL = 0.05  # s between checks for nodes without any part of their endpoint list
 MAX_CHANGE_AGE = 600_000_000  # µs, upper limit of the histogram
 
 
@@ -37,9 +37,9 @@
     nodes: int
     endpoints: int
     listed_half: float
-    """Time from when discovery was available until half of the nodes had their endpoint list."""
+    """Time from when discovery was available until half of the nodes had applied a part of their list."""
     listed_all: float
-    """Time from when discovery was available until all nodes had it; infinite if not within the run."""
+    """Time until all nodes had applied a part of their list, or infinity if some had not by the end."""
     in_force_p50: float
     """Median time from a change at discovery until it is in force at a node."""
     in_force_worst: float
@@ -47,7 +47,9 @@
     calls: int
     """Calls to discovery."""
     rejected_calls: int
+    """Calls that waited too long at discovery and were rejected."""
     snapshots: int
+    """Snapshots that discovery sent in response to calls."""
     memory_per_node: float
     """Memory per node in MB."""
     cpu_per_node: float
@@ -55,12 +57,12 @@
 
 
 class HollowNode:
-    """Node without clients that records when it gets its endpoint list, and the age of each later change."""
+    """Node without clients that records when its endpoint list begins to arrive, and the age of changes."""
 
     def __init__(self, config: Config, change_ages: HdrHistogram) -> None:
         self.node = Node(config, asyncio.get_running_loop())
         self.list_received_at: float | None = None
-        """Unix time in s of the first update from discovery; None before that."""
+        """Unix time in s at which the first part of the list was applied, or None before that."""
         self._change_ages = change_ages
         self._handle = self.node.policy.handle
         self.node.policy.handle = self._observe  # type: ignore[method-assign]
@@ -77,15 +79,17 @@
     def _record_ages(self, endpoints: list[Endpoint]) -> None:
         unix_offset_ms = self.node.endpoint_updater.unix_offset_ms
         for endpoint in endpoints:
-            if endpoint.started_at:  # set for a restart, the only kind of change here
+            # 0 in the initial list, whose later parts arrive here too; set by a restart, the only kind of
+            # change.
+            if endpoint.started_at:
                 age = time.time() - (endpoint.started_at + unix_offset_ms) / 1000
                 self._change_ages.record_value(max(1, int(age * MICROSECONDS_PER_S)))
 
 
 async def measure_mass_restart(plan: DiscoveryPlan, nodes: int, seconds: float) -> MassRestartCost:
-    """Start all nodes at once, and measure them for `seconds` once all have their endpoint list.
+    """Start all nodes at once, and measure them for `seconds` once all have a part of their endpoint list.
 
-    Nodes without a list delay the measurement by at most `seconds`.
+    Nodes without any part of the list delay the measurement by at most `seconds`.
     """
     process = psutil.Process()
     change_ages = HdrHistogram(1, MAX_CHANGE_AGE, SIGNIFICANT_DIGITS)
--- a/benchmarks/node_process.py
+++ b/benchmarks/node_process.py
@@ -29,7 +29,7 @@
 from benchmarks.stub_reports import CallCounts, ChangeWritten
 
 READY_TIMEOUT = 60.0  # s to wait for a node to become ready
-READY_POLL_INTERVAL = 0.05  # s
+READY_POLL_INTERVAL = 0.05  # s between checks whether the node is ready
 SETTLE_TIME = 3.0  # s between readiness and the first measurement
 PAUSE_TIME = 1.0  # s between the last health poll and the measurement at rest
 MAX_CHANGE_DELAY = 600_000_000  # µs, upper limit of the histogram
@@ -41,7 +41,7 @@
 
     endpoints: int
     ready: float
-    """Time from the node's start until it is ready; infinite if it never is."""
+    """Time from the node's start until it is ready, or infinity if it never was."""
     snapshots: int
     """Snapshots fetched from discovery."""
     cpu_percent: float
@@ -60,7 +60,7 @@
     stall_start_ms: float
     """Longest stall of the event loop while the node read the endpoint list."""
     stall_ms: float
-    """Longest stall after that."""
+    """Longest stall once the node was ready and settled."""
 
 
 async def measure_node(plan: DiscoveryPlan, command: NodeCommand, seconds: float) -> NodeCost:
--- a/benchmarks/policy_cost.py
+++ b/benchmarks/policy_cost.py
@@ -1,7 +1,8 @@
-"""Measures how the cost of the policy's control work grows with size: processor time per call of each kind.
+"""Measures how the policy's processor time and memory grow with endpoints, tenants or request classes.
 
-Times are processor time of this process, the best of several rounds of many calls, so that other load on the
-machine has little effect. They are meant for ratios between sizes and between versions of the code.
+Times are the processor time of this process for one operation, such as a request; most are the best of
+several rounds of many calls, so that other load on the machine has little effect. They are meant for ratios
+between sizes and between versions of the code.
 """
 
 from __future__ import annotations
@@ -40,8 +41,9 @@
 
     work: str
     size: int
+    """Number of endpoints, tenants or request classes."""
     ms: float
-    """Processor time of one call in ms, or MB if the work measured is memory."""
+    """Processor time of one operation in ms, or the memory in MB if the work is "memory, MB"."""
 
 
 class MeasuredPolicy:
@@ -53,7 +55,7 @@
         self._request_ids = itertools.count()
 
     def load_endpoints(self, count: int) -> float:
-        """Apply an endpoint list in parts, like the node; return the longest part's processor time in ms."""
+        """Apply an endpoint list in parts, as a node does; return the longest processor time in ms."""
         longest = 0.0
         for first in range(0, count, UPDATE_SIZE):
             entries = [policy_endpoint(i) for i in range(first, min(first + UPDATE_SIZE, count))]
--- a/benchmarks/process_usage.py
+++ b/benchmarks/process_usage.py
@@ -36,12 +36,12 @@
 
 
 def resident_memory(process: psutil.Process) -> float:
-    """Return the resident memory in MB."""
+    """Return the resident memory of a process in MB."""
     return float(process.memory_info().rss) / BYTES_PER_MB
 
 
 def peak_memory(pid: int) -> float:
-    """Return the peak resident memory in MB, or 0 if the kernel doesn't report it."""
+    """Return the peak resident memory of a process in MB, or 0 if the kernel doesn't report it."""
     status = Path(f"/proc/{pid}/status").read_text()
     match = re.search(r"VmHWM:\s+(\d+) kB", status)
     return int(match[1]) * 1024 / BYTES_PER_MB if match else 0.0
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -49,7 +49,7 @@
     utilization: float
     """Share of the warmed-up endpoints' capacity that the steady traffic uses."""
     overload_factor: float
-    """Setting of the policy: load that overloads an endpoint in slow start, as a multiple of its capacity."""
+    """Setting of the policy: multiple of its capacity that overloads an endpoint in slow start."""
     drained_share: float = 0.0
     """Share of the warmed-up endpoints that start to drain when the burst begins."""
     seed: int = 0
@@ -62,7 +62,10 @@
 
 @dataclass(frozen=True)
 class WorstWindow:
-    """Window with the most attempts at the new endpoint relative to its bound."""
+    """The time window in which the attempts at the new endpoint are highest relative to ``bound``.
+
+    Also has the number of windows in which they are above their bound.
+    """
 
     nodes: int
     attempts: int
@@ -75,7 +78,10 @@
 
 
 def overload_bound(allowed: float) -> float:
-    """Return N + 2 sqrt(N) + 2, N being `allowed`: what N requests of average cost may reach by chance."""
+    """Return N + 2 sqrt(N) + 2, where N is `allowed`.
+
+    This is the mean number of attempts, two standard deviations of random variation, and 2 attempts.
+    """
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
@@ -86,16 +92,17 @@
 
 @dataclass(order=True, frozen=True, slots=True)
 class _ScheduledEvent:
-    """Event for a node; events at the same time are ordered as they were scheduled."""
+    """Event for a node. Events at the same time are processed in the order in which they were scheduled."""
 
     at: float
+    """Time in ms."""
     sequence_number: int
     node: int = field(compare=False)
     event: Event = field(compare=False)
 
 
 class _AttemptWindow:
-    """Sliding window of `length` ms over the attempts at the new endpoint; keeps the worst window so far."""
+    """Sliding window of `length` ms over the attempts at the new endpoint, which keeps its worst position."""
 
     def __init__(self, length: float) -> None:
         self.length = length
--- a/benchmarks/slow_start_chance.py
+++ b/benchmarks/slow_start_chance.py
@@ -12,19 +12,25 @@
 
 @dataclass(frozen=True)
 class OverloadChance:
-    """Probabilities of more attempts in one window than an endpoint in slow start can take."""
+    """Probabilities of more attempts in one window than an endpoint in slow start can take.
+
+    The phase of a node is the fraction of its first attempt that its budget starts with.
+    """
 
     nodes: int
     attempts: float
     """Attempts per window that all nodes' budgets allow on average."""
     allowed: float
-    """Attempts per window that the endpoint can take on average (N)."""
+    """Attempts per window (N) from which the policy derives how long an earned attempt can be used.
+
+    `attempts` times half of the overload factor (see OVERLOAD_FACTOR_SHARE_USED of the policy).
+    """
     chance_saved: float
     """Probability if each node keeps its earned attempts until it uses them."""
     chance_lapsing: float
-    """Probability if earned attempts lapse as in the policy and the phases of the nodes are random."""
+    """Probability if earned attempts expire as in the policy, but the phases of the nodes are random."""
     most_spread: int
-    """Largest number of attempts at once in the policy, where the phases of the nodes are spread evenly."""
+    """Most attempts at once in the policy, which spreads the phases of the nodes evenly over 0 to 1."""
     bound: float
     """Limit above which attempts per window count as overload: N plus an allowance for random variation."""
 
@@ -34,6 +40,7 @@
 ) -> OverloadChance:
     """Return the probabilities for the first window after `idle_windows` windows without attempts."""
     allowed = attempts * overload_factor / 2
+    # The allowance in SlowStart._lifetime, but without the minimum lifetime of an earned attempt.
     max_saved = max(allowed - attempts, 0.0) + math.sqrt(allowed) + 1
     bound = overload_bound(allowed)
     available = attempts + min(max_saved, attempts * idle_windows)
--- a/benchmarks/stub_reports.py
+++ b/benchmarks/stub_reports.py
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True)
 class StubAvailable:
-    """The stub accepts calls, after a period of unavailability."""
+    """The stub has begun to accept calls, after the period at the start in which it was unavailable."""
 
     at: float
-    """Unix time in s."""
+    """Unix time in s at which this happened."""
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
 
     version: int
     at: float
-    """Unix time in s."""
+    """Unix time in s at which the change was made."""
 
 
 @dataclass(frozen=True)
--- a/benchmarks/subsetting.py
+++ b/benchmarks/subsetting.py
@@ -19,7 +19,7 @@
     """Results for one subsetting method and one fleet size."""
 
     method: str
-    """Subsetting method: rank or arc."""
+    """`rank` (a subset is a range of positions in hash order) or `arc` (a range of hash values)."""
     endpoints: int
     nodes: int
     subsets: int
@@ -43,7 +43,7 @@
 def measure_coverage(endpoints: int, nodes: int, by_rank: bool) -> Coverage:
     """Compute the nodes' subsets of one fleet, and how those of a sample of the nodes change with the fleet.
 
-    By rank, the coverage is also computed from the sample only, since all nodes would take too long.
+    With the rank method, the coverage is computed from the sample too, since all nodes would take too long.
     """
     subsetter = _Subsetter(endpoints, nodes, by_rank)
     sample = range(0, nodes, max(1, nodes // SAMPLED_NODES))
@@ -67,7 +67,7 @@
 
 
 class _Subsetter:
-    """Fleet whose endpoints are divided into subsets by rank or by arc."""
+    """Fleet whose endpoints are divided into subsets by the rank or arc method (see `Coverage.method`)."""
 
     def __init__(self, endpoints: int, nodes: int, by_rank: bool) -> None:
         self.endpoints = endpoints
@@ -94,7 +94,7 @@
     for subset in subsets:
         for endpoint_id in subset:
             loads[endpoint_id] += 1 / len(subset)
-    # By rank, only a sample of the nodes is examined, so endpoints outside their subsets are left out.
+    # With the rank method, only a sample of nodes is examined; other nodes' endpoints are left out.
     covered = sorted(load for load in loads.values() if load or not subsetter.by_rank)
     mean = sum(covered) / len(covered)
     return [load / mean for load in covered]
