--- a/tests/policy/driver.py
+++ b/tests/policy/driver.py
@@ -64,7 +64,7 @@
 
 
 class AttemptId(NamedTuple):
-    """Id of a request, and number of one of its attempts, from 0."""
+    """The id of a request and the number of one of its attempts, counted from 0."""
 
     request_id: int
     attempt: int
@@ -87,7 +87,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Return settings with an idempotent, a keyed and a not idempotent class; `changes` replace fields."""
+    """Return settings with an idempotent, a keyed and a non-idempotent class; `changes` replace fields."""
     base = Settings(
         classes=(IDEMPOTENT, KEYED, NOT_IDEMPOTENT),
         tick=5.0,
@@ -101,7 +101,7 @@
 
 
 def endpoint(endpoint_id: int, state: EndpointState = EndpointState.READY, started: float = 0.0) -> Endpoint:
-    """Return an endpoint of weight 1; its id determines its zone (of three) and machine type (of four)."""
+    """Return an endpoint of weight 1; its id determines its zone (of three) and its cell (of four)."""
     return Endpoint(endpoint_id, endpoint_id % 3, 0, endpoint_id % 4, state, 1.0, started)
 
 
@@ -119,7 +119,7 @@
         self.attempts: dict[int, list[SentAttempt]] = {}  # by request id, in order
         self.attempts_in_flight: dict[AttemptId, float] = {}  # ms at which each times out
         self.possible_runs: dict[int, dict[int, SentAttempt]] = {}  # by request id, then attempt number
-        self.timers: list[tuple[float, int]] = []  # (due time in ms, token)
+        self.timers: list[tuple[float, int]] = []  # (time in ms at which it fires, token)
         self.commands: list[object] = []  # all commands so far, in order
         self.endpoints: dict[int, Endpoint] = {}  # by id, removed ones included
         self.key_queues: dict[int, list[int]] = {}  # by key: request ids in order of arrival
@@ -156,7 +156,7 @@
         tenant: int = 0,
         cost_hint: float = 0.0,
     ) -> int:
-        """Let a request arrive with its deadline in `deadline_in` ms; return the request id."""
+        """Let a request arrive whose deadline is in `deadline_in` ms, and return the request id."""
         request_id = self.next_request_id
         self.next_request_id += 1
         deadline = self.now + deadline_in
@@ -170,13 +170,13 @@
         return request_id
 
     def commands_for_new_request(self, class_index: int, tenant: int = 0) -> list[object]:
-        """Let a request arrive; return the commands with which the policy responds."""
+        """Let a request arrive, and return the commands with which the policy responds."""
         first = len(self.commands)
         self.request(class_index, tenant=tenant)
         return self.commands[first:]
 
     def rejects_new_request(self, class_index: int, tenant: int = 0) -> bool:
-        """Let a request arrive; return whether the policy rejects it at once."""
+        """Let a request arrive, and return whether the policy rejects it at once."""
         commands = self.commands_for_new_request(class_index, tenant)
         return any(isinstance(command, RejectRequest) for command in commands)
 
@@ -193,7 +193,7 @@
         return self.is_in_flight(request_id, self.last_attempt(request_id))
 
     def oldest_in_flight(self) -> AttemptId:
-        """Return the attempt that has been in flight for longest."""
+        """Return the attempt that has been in flight the longest."""
         return next(iter(self.attempts_in_flight))
 
     def end_attempt(
@@ -226,7 +226,7 @@
         self.handle(RequestCancelled(request_id))
 
     def advance(self, duration: float) -> None:
-        """Let `duration` ms pass with their timers and timeouts; no pending request may miss its deadline."""
+        """Let `duration` ms pass and run what is due; assert that no pending request misses its deadline."""
         end = self.now + duration
         while self._run_next_due(end):
             pass
--- a/tests/policy/policy_state.py
+++ b/tests/policy/policy_state.py
@@ -53,7 +53,7 @@
 
 
 def required_concurrency(driver: PolicyDriver) -> float:
-    """Return the attempts in flight that a busy fleet needs from this node."""
+    """Return the number of attempts in flight that this node needs to keep its share of the fleet busy."""
     return driver.policy._overload.concurrency.required
 
 
@@ -86,7 +86,7 @@
 
 
 def tracked_endpoint_ids(driver: PolicyDriver) -> set[int]:
-    """Return the ids of the endpoints of which the policy keeps state."""
+    """Return the ids of the endpoints for which the policy keeps state."""
     return {tracked.endpoint.id for tracked in driver.policy._registry}
 
 
@@ -122,10 +122,10 @@
 
 
 def tracked_key_count(driver: PolicyDriver) -> int:
-    """Return the number of keys of sequential requests of which the policy keeps state."""
+    """Return the number of keys of sequential requests for which the policy keeps state."""
     return len(driver.policy._sequencer)
 
 
 def fix_random_draws(driver: PolicyDriver, value: float) -> None:
-    """Make each `random()` of the generator that the policy's components share return this value."""
+    """Make `random()` of the generator that the policy's components share return this value on every call."""
     driver.policy._retries._random.random = lambda: value  # type: ignore[method-assign]
--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -18,7 +18,7 @@
             driver.serve(driver.request(key=key * 7919))
         endpoint_ids.append(target_ids(driver))
     same_count = sum(a == b for a, b in zip(*endpoint_ids, strict=True))
-    assert same_count > 200  # of 399 keys; about 10 would agree by chance
+    assert same_count > 200  # there are 399 keys, of which about 10 would agree by chance
 
 
 def test_hot_key_is_spread_over_several_endpoints() -> None:
--- a/tests/policy/test_control_work.py
+++ b/tests/policy/test_control_work.py
@@ -1,4 +1,4 @@
-"""Cost of handling one event, which must not grow with the fleet."""
+"""The cost of handling one event must not grow with the fleet."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_key_sequencing.py
+++ b/tests/policy/test_key_sequencing.py
@@ -31,7 +31,7 @@
     assert [len(driver.attempts[n]) for n in [*queued, other_key, not_sequential]] == [1, 0, 0, 1, 1]
     driver.serve(queued[0])
     assert [len(driver.attempts[n]) for n in queued] == [1, 1, 0]
-    driver.cancel(queued[2])  # the last in the queue; the next request takes its place
+    driver.cancel(queued[2])  # it is the last in the queue, and the next request takes its place
     new_last = driver.request(0, key=7)
     driver.serve(queued[1])
     assert len(driver.attempts[new_last]) == 1
@@ -85,7 +85,8 @@
         driver.now += 200
         driver.serve(driver.request(2), 100.0)
         driver.serve(driver.request(0, key=9), 100.0)
-    # At 100 ms each, no more than 9 of the 30 requests can be served within their deadline of 900 ms.
+    # At 100 ms each, about 4 of the 30 requests can be served within the latency objective of 400 ms, and no
+    # more than 9 within their deadline of 900 ms.
     request_ids = [driver.request(0, key=7) for _ in range(30)]
     rejected = [n for n in request_ids if driver.outcomes.get(n) == RequestOutcome.REJECTED]
     assert 20 < len(rejected) < 29
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -36,7 +36,7 @@
         assert send_traffic(driver, rate, 3) == 0
 
 
-def test_few_failing_endpoints_are_no_overload() -> None:
+def test_few_failing_endpoints_do_not_count_as_overload() -> None:
     # Failing endpoints have to be avoided; shedding requests would not help them.
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,)), endpoints=20)
     max_failure_ratio = 0.0
@@ -47,13 +47,13 @@
             driver.end_attempt(
                 request_id, 0, AttemptResult.ERROR if target_ids(driver)[-1] < 3 else AttemptResult.SUCCESS
             )
-        if step > 100:  # their failures are known by then
+        if step > 100:  # by then, the policy knows of the failures
             max_failure_ratio = max(max_failure_ratio, fleet_failure_ratio(driver))
     assert shedding_threshold(driver) == 0.0
     assert max_failure_ratio < 0.1
 
 
-def test_rejected_attempts_among_fast_responses_are_no_overload() -> None:
+def test_rejected_attempts_among_fast_responses_do_not_count_as_overload() -> None:
     # Endpoints with full queues respond slowly; rejected attempts among fast responses have another cause.
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,)), endpoints=12)
     rng, thresholds = random.Random(3), []
@@ -71,7 +71,7 @@
     assert list(driver.outcomes.values()).count(RequestOutcome.REJECTED) < 15  # rejected in all 4 attempts
 
 
-def test_timely_responses_are_no_overload_on_a_node_with_most_of_the_traffic() -> None:
+def test_timely_responses_do_not_count_as_overload_on_a_node_with_most_of_the_traffic() -> None:
     # An even share of the fleet allows 4 attempts in flight on this node; 125/s that take 48 ms need 6.
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,), node_count=2), endpoints=8)
     assert send_traffic(driver, 125, 8, 20.0) + send_traffic(driver, 125, 20, 48.0) == 0
@@ -87,7 +87,7 @@
     elapsed: float
 
 
-def test_timeouts_among_timely_responses_are_no_overload() -> None:
+def test_timeouts_among_timely_responses_do_not_count_as_overload() -> None:
     # One attempt in 14 gets no response; its timeout must not count as a late response.
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,), node_count=2), endpoints=8)
     send_traffic(driver, 125, 8, 20.0)
@@ -163,7 +163,7 @@
     assert list(driver.outcomes.values()).count(RequestOutcome.REJECTED) < 8
 
 
-def test_concurrency_above_the_sum_of_endpoint_weights_is_no_overload() -> None:
+def test_concurrency_above_the_sum_of_endpoint_weights_does_not_count_as_overload() -> None:
     # Requests that wait for other services use no CPU core, so that an endpoint can serve many more of them
     # at once than its weight says.
     driver = PolicyDriver(settings(classes=(NOT_IDEMPOTENT,)), endpoints=4)
@@ -181,7 +181,7 @@
     assert rejected_at_end < 50
 
 
-def test_failure_of_all_endpoints_is_overload() -> None:
+def test_failure_of_all_endpoints_counts_as_overload() -> None:
     # If the failures were attributed to outliers alone, the overload of the whole fleet would go unnoticed.
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,), max_attempts=1), endpoints=8)
     thresholds = []
@@ -228,7 +228,8 @@
 
 
 def test_late_responses_with_a_late_weight_raise_required_concurrency() -> None:
-    # Endpoints that serve the newest request first serve a few very late; those are in flight too.
+    # Endpoints that serve the newest request first (LIFO) leave a few requests waiting very long. These count
+    # as attempts in flight meanwhile.
     required = []
     for late_weight in (0.0, 0.5):
         driver = PolicyDriver(
@@ -245,7 +246,8 @@
 
 
 def test_headroom_of_required_concurrency_shrinks_gradually_with_failures() -> None:
-    # If the headroom ended at one failure ratio, the overload would jump there from 0.1 to 1.
+    # If the headroom were dropped all at once at one failure ratio, the overload would jump from 0.1 to 1 at
+    # that ratio.
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,)), endpoints=8)
     send_traffic(driver, 50, 10)
     required = []
--- a/tests/policy/test_packed_table.py
+++ b/tests/policy/test_packed_table.py
@@ -17,7 +17,9 @@
     try:
         table = PackedTable("<q")
         for put, key, value in steps:
-            key = key if value else key & 0xFF << 56  # repeats some keys, at the lower ends of buckets
+            # For value 0, only the top 8 bits of the key are kept: such keys repeat, and lie at the lower
+            # ends of buckets.
+            key = key if value else key & 0xFF << 56
             if put:
                 table.put(key, value)
                 expected[key] = (value,)
--- a/tests/policy/test_protocol_rules.py
+++ b/tests/policy/test_protocol_rules.py
@@ -53,7 +53,7 @@
     AttemptResult.NOT_SENT,
 )
 
-STEP = st.tuples(st.integers(0, 9), st.integers(0, 10**6))  # action, and a number that selects its details
+STEP = st.tuples(st.integers(0, 9), st.integers(0, 10**6))  # (action, number that selects its details)
 
 
 def take_step(driver: PolicyDriver, action: int, number: int) -> None:
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -39,7 +39,7 @@
         request_id = driver.request(class_index)
         driver.advance(IDEMPOTENT.latency_objective - 60.0)
         assert (len(driver.attempts[request_id]) == 2) is retried
-    costly = driver.request(0, cost_hint=100.0)  # the hint explains a long attempt: no early retry
+    costly = driver.request(0, cost_hint=100.0)  # the hint explains the long attempt: no retry yet
     driver.advance(IDEMPOTENT.latency_objective - 60.0)
     assert len(driver.attempts[costly]) == 1
 
@@ -112,7 +112,7 @@
     assert driver.outcomes[request_id] == RequestOutcome.REJECTED
 
 
-def test_not_idempotent_request_that_may_have_run_fails_without_a_retry() -> None:
+def test_non_idempotent_request_that_may_have_run_fails_without_a_retry() -> None:
     for result in (AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.TIMEOUT):
         driver = PolicyDriver(settings())
         request_id = driver.request(2)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -64,27 +64,27 @@
     assert target_ids(driver)[1:].count(busy_endpoint) < 10  # at random it would be half
 
 
-def test_cross_zone_cost_makes_idle_endpoints_in_the_own_zone_come_first() -> None:
-    own_zone_shares = []
+def test_cross_zone_cost_makes_idle_endpoints_in_the_zone_of_the_node_come_first() -> None:
+    node_zone_shares = []
     for cost in (0.0, 0.12):
         driver = PolicyDriver(settings(classes=(IDEMPOTENT,), cross_zone_cost=cost), endpoints=12)
         for _ in range(500):
             driver.now += 20
             driver.serve(driver.request())
-        own_zone_shares.append(sum(driver.endpoints[i].zone == 0 for i in target_ids(driver)[-400:]) / 400)
+        node_zone_shares.append(sum(driver.endpoints[i].zone == 0 for i in target_ids(driver)[-400:]) / 400)
         zones = {driver.attempts[driver.request()][0].endpoint.zone for _ in range(12)}
-    assert own_zone_shares[0] < 0.95 and own_zone_shares[1] == 1.0
-    assert zones > {0}  # busy endpoints in the own zone are not preferred
+    assert node_zone_shares[0] < 0.95 and node_zone_shares[1] == 1.0
+    assert zones > {0}  # busy endpoints in the node's zone are not preferred
 
 
-def test_without_a_cross_zone_cost_the_own_zone_is_preferred_but_not_exclusive() -> None:
+def test_without_a_cross_zone_cost_the_zone_of_the_node_is_preferred_but_not_exclusive() -> None:
     driver = PolicyDriver(settings(classes=(IDEMPOTENT,), zone=1), endpoints=9)
     for _ in range(600):
         driver.now += 20
         driver.serve(driver.request())
-    own_zone_share = sum(driver.endpoints[i].zone == 1 for i in target_ids(driver)) / 600
-    assert 0.5 < own_zone_share < 0.95
-    for _ in range(40):  # without responses, so that the own zone has no idle endpoint left
+    node_zone_share = sum(driver.endpoints[i].zone == 1 for i in target_ids(driver)) / 600
+    assert 0.5 < node_zone_share < 0.95
+    for _ in range(40):  # there are no responses, so that the node's zone has no idle endpoint left
         driver.now += 20
         driver.request()
     zones = [driver.endpoints[i].zone for i in target_ids(driver)[-30:]]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -33,21 +33,22 @@
     # If nodes kept unused attempts, all of them together could send an endpoint more than its overload factor
     # allows after seconds without traffic.
     overload_factor, age = 2.0, 8000.0  # age in ms
-    responses_per_second, sent = 5.0, 0  # of a warm peer, to all nodes
+    # Responses of a warm endpoint to all nodes together, and attempts of all nodes at the one in slow start.
+    responses_per_second, sent = 5.0, 0
     config = settings(classes=(NOT_IDEMPOTENT,), node_count=nodes, slow_start_overload_factor=overload_factor)
     for node in range(nodes):
         driver = PolicyDriver(replace(config, node_index=node), seed=node, endpoints=0)
         driver.update_endpoints([endpoint(0), endpoint(1, started=driver.now)], UpdateKind.SNAPSHOT)
         for _ in range(int(age / 50)):
             set_peak_goodput_per_endpoint(driver, responses_per_second / nodes)
-            is_eligible(driver, 1)
+            is_eligible(driver, 1)  # called for its side effect: adds what was earned so far to the budget
             driver.now += 50
         driver.update_endpoints([endpoint(0, EndpointState.DRAINING)])
         set_peak_goodput_per_endpoint(driver, responses_per_second / nodes)
         driver.request(0)
         sent += 1 in target_ids(driver)
     limit = overload_factor * responses_per_second * (0.2 + 0.8 * age / 10_000.0)
-    assert 0 < sent <= limit + 2 * limit**0.5 + 2  # two standard deviations and 2 attempts more
+    assert 0 < sent <= limit + 2 * limit**0.5 + 2  # two standard deviations and 2 attempts allow for chance
 
 
 def test_share_in_slow_start_is_relative_to_warm_peers() -> None:
@@ -89,7 +90,7 @@
         if step == 2300:
             break
     per_second = target_ids(driver)[sent_before:].count(10) / 6.0
-    assert 0 < per_second < 50 / 10  # responses per second of each peer before connections failed
+    assert 0 < per_second < 50 / 10  # each peer's responses per second before connections failed
 
 
 def test_endpoint_restarted_with_the_same_id_is_in_slow_start_again() -> None:
@@ -119,7 +120,7 @@
             driver.request()
         for endpoint_id in target_ids(driver):
             sent[endpoint_id] += 1
-    # At 100 ms per request, a warm endpoint serves 10/s one at a time, and a fifth of that at first. The
-    # limit is 2.5 times as much over the second that has passed, and 5 attempts more.
+    # At 100 ms per request, a warm endpoint serves 10/s one at a time, and a fifth of that at first. In
+    # the second that has passed, 2.5 times as many attempts are allowed, and 5 more.
     assert sum(sent) > 0
     assert max(sent) <= 10 * 0.2 * 2.5 + 5
--- a/tests/policy/test_staleness.py
+++ b/tests/policy/test_staleness.py
@@ -35,7 +35,7 @@
     )
     driver.update_endpoints([])
     for _ in range(40):
-        driver.now += 100  # no update for 4 s, but the watch is open: the list is not stale
+        driver.now += 100  # there is no update for 4 s, but the list is not stale, since the watch is open
         driver.serve(driver.request())
     driver.handle(EndpointUpdate(UpdateKind.UNAVAILABLE, 0, [], driver.now - 1000.0))
     stale_since, earlier_count = driver.now - 1000.0, len(driver.attempts)
@@ -48,7 +48,8 @@
                 *driver.oldest_in_flight(), AttemptResult.SUCCESS if is_served else AttemptResult.REJECTED
             )
     attempts = [sent for group in list(driver.attempts.values())[earlier_count:] for sent in group]
-    # An endpoint that served a request 1000 ms after the last contact is usable for 3000 ms from then on.
+    # Endpoints 2 to 7 served their last request at most 1000 ms after the last contact. They are usable for
+    # at most 3000 ms from then on, less the connect timeout of 50 ms; later attempts must go to 0 and 1.
     used = [sent.endpoint.id for sent in attempts if sent.sent_at + 50.0 >= stale_since + 1000.0 + 3000.0]
     assert len(used) > 40
     assert set(used) == {0, 1}
@@ -57,7 +58,7 @@
     driver.update_endpoints([])
     assert driver.attempts[driver.request()]
     driver.handle(EndpointUpdate(UpdateKind.UNAVAILABLE, 0, [], driver.now))
-    driver.now += 60_000.0  # discovery is down for a minute: all endpoints are used again
+    driver.now += 60_000.0  # after a minute without discovery, all endpoints are used again
     assert driver.attempts[driver.request()]
 
 
--- a/tests/simulator/frames.py
+++ b/tests/simulator/frames.py
@@ -46,7 +46,7 @@
 def batch_frame(*records: bytes, tail: bytes = b"", number: int = 1) -> bytes:
     """Return the frame of a batch at 1 ms of simulated time; records are padded to their full size."""
     body = b"".join(record.ljust(EVENT_SIZE, b"\0") for record in records)
-    header = struct.pack(">IIdI", number, 20 + len(body) + len(tail), 1.0, len(records))  # of 20 bytes
+    header = struct.pack(">IIdI", number, 20 + len(body) + len(tail), 1.0, len(records))  # 20 bytes
     return header + body + tail
 
 
