--- a/tests/proxy/process.py
+++ b/tests/proxy/process.py
@@ -50,7 +50,7 @@
                 return match
 
     async def wait_until_ready(self) -> None:
-        """Wait until the node listens and has applied version 1 of the endpoint list; sets ``port``."""
+        """Wait until the node listens and has applied version 1 of the endpoint list, and set ``port``."""
         self.port = int((await self.next_line(r"listens on 127\.0\.0\.1:(\d+)"))[1])
         await self.next_line("endpoint list version 1 ")
 
@@ -69,7 +69,7 @@
     """Run a node process until the block ends, and kill it if it is still running then.
 
     Args:
-        config_path: Where the configuration file is written.
+        config_path: Path to which the configuration file is written.
         discovery_port: Port of discovery in the configuration file.
         max_descriptors: Limit on file descriptors, set in the configuration file and by ulimit.
         extra_environment: Environment variables for the process.
--- a/tests/proxy/race_helpers.py
+++ b/tests/proxy/race_helpers.py
@@ -11,7 +11,7 @@
 from tests.proxy.stubs import TIMEOUT_S
 
 
-class HeldConnectLoop:
+class HeldConnectionLoop:
     """Event loop in which ``create_connection`` connects at once but returns only after ``release`` is set.
 
     ``completed`` is set when the first connection has been made.
@@ -37,9 +37,9 @@
         return connection
 
 
-def hold_connects(harness: NodeHarness) -> HeldConnectLoop:
-    """Hold back the connections that the node opens to upstreams; returns the loop that releases them."""
-    loop = HeldConnectLoop(asyncio.get_running_loop())
+def hold_connections(harness: NodeHarness) -> HeldConnectionLoop:
+    """Hold back the connections that the node opens to upstreams; return the loop that releases them."""
+    loop = HeldConnectionLoop(asyncio.get_running_loop())
     harness.node.pool.loop = loop  # type: ignore[assignment]
     return loop
 
--- a/tests/proxy/stubs.py
+++ b/tests/proxy/stubs.py
@@ -15,7 +15,7 @@
     "book": Idempotency.KEYED,
     "pay": Idempotency.NOT_IDEMPOTENT,
 }
-TIMEOUT_S = 10.0  # for anything that a test waits for; reached only if the test fails
+TIMEOUT_S = 10.0  # limit for anything that a test waits for; reached only if the test fails
 
 Responder = Callable[["UpstreamStub", bytes, asyncio.StreamWriter], Awaitable[None]]
 """Called with the head of each request; writes the upstream's response to the writer."""
@@ -51,7 +51,7 @@
 
 
 async def never_respond(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
-    """Leave the request without a response."""
+    """Never respond to the request."""
     pass
 
 
@@ -91,7 +91,7 @@
     def entry(self, name: str = "s-1", lifecycle: str = "active", started_at_ms: int = 0) -> dict[str, Any]:
         """Return an entry of discovery's endpoint list with this upstream's address.
 
-        ``started_at_ms`` is the start time in ms of Unix time.
+        ``started_at_ms`` is the Unix time of its last start in ms.
         """
         return {
             "instanceId": name,
@@ -162,7 +162,7 @@
 
     @property
     def transport(self) -> asyncio.Transport:
-        """Transport of the connection, with the type that has ``pause_reading``."""
+        """The connection's transport, cast to the type that declares ``pause_reading``."""
         return cast(asyncio.Transport, self.writer.transport)
 
     async def receive(self) -> tuple[int, bytes, bytes]:
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -11,7 +11,7 @@
 from load_balancer.policy.settings import Settings
 from load_balancer.proxy import listener as listener_module
 from tests.proxy.harness import make_config, run, running_node
-from tests.proxy.race_helpers import connect_raw, hold_connects, wait_until
+from tests.proxy.race_helpers import connect_raw, hold_connections, wait_until
 from tests.proxy.stubs import TIMEOUT_S, UpstreamStub, make_request, never_respond, respond_after
 
 # More requests than the node queues at a time, so that it pauses reading.
@@ -23,18 +23,18 @@
     return replace(make_config(1).settings, can_cancel=False)
 
 
-def test_request_is_not_sent_if_the_client_disconnects_during_connect() -> None:
+def test_request_is_not_sent_if_the_client_disconnects_before_the_upstream_is_connected() -> None:
     # An attempt that can't be cancelled would otherwise be sent once the connection to the upstream is made.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream, settings=settings_without_cancel()) as harness:
-            connects = hold_connects(harness)
+            held_loop = hold_connections(harness)
             client = await harness.connect()
             client.writer.write(make_request("pay"))
-            await asyncio.wait_for(connects.completed.wait(), TIMEOUT_S)
+            await asyncio.wait_for(held_loop.completed.wait(), TIMEOUT_S)
             client.writer.close()
             await harness.next_event(RequestCancelled)
-            connects.release.set()
+            held_loop.release.set()
             assert (await harness.next_attempt_end()).result == AttemptResult.NOT_SENT
             await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert upstream.requests.empty() and not harness.node.pool.attempts
@@ -42,7 +42,7 @@
     run(test())
 
 
-def test_request_is_not_sent_if_the_disconnect_is_undetected_when_the_connect_ends(
+def test_request_is_not_sent_if_the_disconnect_is_undetected_once_the_upstream_is_connected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The event loop does not detect a disconnect while reading is paused.
@@ -51,14 +51,14 @@
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream, settings=settings_without_cancel()) as harness:
-            connects = hold_connects(harness)
+            held_loop = hold_connections(harness)
             client = connect_raw(harness)
             client.sendall(PIPELINED_REQUESTS)
-            await asyncio.wait_for(connects.completed.wait(), TIMEOUT_S)
+            await asyncio.wait_for(held_loop.completed.wait(), TIMEOUT_S)
             (connection,) = harness.node.listener.connections
             assert connection.read_paused
             client.close()
-            connects.release.set()
+            held_loop.release.set()
             assert (await harness.next_attempt_end()).result == AttemptResult.NOT_SENT
             await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
             assert (
@@ -141,7 +141,7 @@
             # With a reusable connection, nothing but the disconnect keeps the request from being sent.
             harness.age_idle_connections()
             listener = harness.node.listener
-            listener.pause_accepting()  # as at the connection limit
+            listener.pause_accepting()  # as it does at the connection limit
             with connect_raw(harness) as client:
                 client.sendall(make_request())
             listener.resume_accepting()
--- a/tests/proxy/test_configuration_reload.py
+++ b/tests/proxy/test_configuration_reload.py
@@ -43,7 +43,7 @@
             )
             node.process.send_signal(signal.SIGHUP)
             assert await asyncio.wait_for(discovery_2.targets.get(), TIMEOUT_S) == "/catalog/members"
-            # The connections of the snapshot request and of the watch.
+            # Both connections are closed, that of the snapshot request and that of the watch.
             await asyncio.wait_for(discovery_1.disconnects.get(), TIMEOUT_S)
             await asyncio.wait_for(discovery_1.disconnects.get(), TIMEOUT_S)
             assert (
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -107,8 +107,8 @@
 def test_backoff_leaves_most_of_the_drain_grace_if_discovery_pushes(
     is_polled: bool, max_delay: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # When a discovery that pushes is available again, nodes count as notified of all changes at once, so each
-    # node must call it within the drain grace, here 500 ms.
+    # Once a pushing discovery service is available again, the protocol considers all nodes notified of all
+    # changes at once (see NOTIFIED_AFTER_S), so each node must call it within the drain grace, here 500 ms.
     delays: list[float] = []
     sleep = asyncio.sleep
 
@@ -136,8 +136,9 @@
 @pytest.mark.parametrize(
     "timeout", ["WATCH_IDLE_TIMEOUT_S", "CONNECT_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "SNAPSHOT_TIMEOUT_S"]
 )
-def test_next_call_after_any_timeout_is_handled_before_the_node_counts_as_notified(timeout: str) -> None:
-    # Before a watch became idle, it had sent lines, which reset the backoff.
+def test_next_call_after_any_timeout_is_handled_before_the_node_is_considered_notified(timeout: str) -> None:
+    # A watch that becomes idle has sent lines before, which reset the backoff (unless updates were rejected).
+    # After the other timeouts, the backoff may be at its maximum.
     had_contact = timeout == "WATCH_IDLE_TIMEOUT_S"
     backoff = discovery.BACKOFF_INITIAL_S if had_contact else discovery.BACKOFF_MAX_S
     longest_delay = backoff * max(discovery.BACKOFF_JITTER)
@@ -186,7 +187,7 @@
 def test_unread_line_of_the_old_watch_is_discarded_when_the_address_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # If the line were applied after the change, it would add an endpoint to the list of the new discovery.
+    # If the line were applied after the change, it would add an endpoint to the new discovery service's list.
     writers: list[asyncio.StreamWriter] = []
 
     async def keep_writer(self: DiscoveryStub, writer: asyncio.StreamWriter) -> None:
@@ -208,7 +209,8 @@
             writers[0].write(delta_chunk(2, upstream.entry("s-3")))
             while (await harness.next_event(EndpointUpdate)).version != 2:
                 pass
-            # Both steps without a loop iteration between them, in which the line would be read.
+            # There is no await between the two calls, so the event loop can't read the line before the
+            # address changes.
             os.write(writers[0].get_extra_info("socket").fileno(), delta_chunk(3, upstream.entry("s-4")))
             harness.node.discovery.change_address(("127.0.0.1", new_discovery.port))
             assert await asyncio.wait_for(new_discovery.targets.get(), TIMEOUT_S) == "/catalog/members"
--- a/tests/proxy/test_eviction.py
+++ b/tests/proxy/test_eviction.py
@@ -13,7 +13,8 @@
 
 
 def test_longest_idle_connection_is_evicted_at_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Most connections here are closing: they would be evicted first once NEW_CONNECTION_GRACE_S has passed.
+    # Once a third of the limit is idle, further connections close after their response. They would be evicted
+    # first; a grace of 60 s prevents that here.
     monkeypatch.setattr(eviction, "NEW_CONNECTION_GRACE_S", 60.0)
 
     async def test() -> None:
@@ -44,7 +45,7 @@
             assert closing_count > 0
             new_client = await harness.connect()
             assert (await new_client.exchange(make_request()))[0] == 200
-            # One of them was evicted, and the new connection closes after its response as many are idle.
+            # One of them was evicted, and the new one is closing too, since many connections are idle.
             assert len(table.in_state(ConnectionState.CLOSING)) == closing_count
             assert (await clients[0].exchange(make_request()))[0] == 200
             assert len(table) == table.limit
@@ -74,8 +75,8 @@
 
 
 def test_connection_with_an_incomplete_request_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    # 200 clients that had each sent only a part of their headers used up the limit: 50 requests of regular
-    # clients were not accepted.
+    # Before this rule, 200 clients that had each sent only a part of their headers used up the limit, and 50
+    # requests of regular clients were not accepted.
     monkeypatch.setattr(eviction, "SLOW_REQUEST_AGE_S", 0.0)
 
     async def test() -> None:
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -39,7 +39,7 @@
     run(test())
 
 
-def test_not_idempotent_request_that_may_have_run_is_not_retried_and_gets_502() -> None:
+def test_non_idempotent_request_that_may_have_run_is_not_retried_and_gets_502() -> None:
     # A retry, or a client's repeat after 503, could execute the request twice.
     async def test() -> None:
         upstreams = [
--- a/tests/proxy/test_request_tracker.py
+++ b/tests/proxy/test_request_tracker.py
@@ -1,4 +1,4 @@
-"""What the node passes on of a client's request: to the policy and to the upstream."""
+"""The values of a client's request that the node passes to the policy and to the upstream."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -77,7 +77,7 @@
             client.writer.write(data[40:])
             forwarded = await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
             forwarded_timeout = header(forwarded, b"Request-Timeout")
-            # SIGKILL_MAX_DEADLINE_MS less SIGKILL_MARGIN_MS
+            # The limit of 1900 ms is SIGKILL_MAX_DEADLINE_MS less SIGKILL_MARGIN_MS.
             assert forwarded_timeout is not None and int(forwarded_timeout[:-1]) <= 1900
             client.writer.close()
             await shutdown
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -31,7 +31,7 @@
 
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 HUGE_LENGTH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"
-TCP_ESTABLISHED = 1  # as tcpi_state, the first byte of TCP_INFO
+TCP_ESTABLISHED = 1  # value of tcpi_state, the first byte of TCP_INFO
 
 
 class RecordingResponder:
@@ -168,7 +168,7 @@
             await other_client.exchange(b"GET /_health HTTP/1.1\r\n\r\n")
             assert (await client.exchange(make_request()))[0] == 200
             pool, (connection,) = harness.node.pool, harness.node.pool.connections
-            # No loop iteration until pool.send, so that the event loop can't read the data first.
+            # There is no await before pool.send, so the event loop can't read the data first.
             sock = responder.writers[0].get_extra_info("socket")
             if unread:
                 os.write(sock.fileno(), unread)
@@ -203,8 +203,8 @@
 
 
 def test_socket_of_a_cancelled_attempt_is_shut_down_before_cancel_returns() -> None:
-    # The transport closes the socket a loop iteration later: until then, a retry would put the request in
-    # flight twice.
+    # The transport closes the socket one iteration of the event loop later. Until then, a retry would put the
+    # request in flight twice.
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
         async with running_node(upstream) as harness:
@@ -255,7 +255,7 @@
     run(test())
 
 
-def test_failed_connect_leaves_no_reference_cycle() -> None:
+def test_failure_to_connect_leaves_no_reference_cycle() -> None:
     # ResponseParser and the httptools parser refer to each other: if that is not undone, only the garbage
     # collector frees their memory.
     async def test() -> None:
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -152,7 +152,7 @@
     run(test())
 
 
-def test_upstream_that_starts_draining_during_connect_gets_no_request() -> None:
+def test_upstream_that_starts_draining_while_the_node_connects_gets_no_request() -> None:
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
@@ -172,7 +172,7 @@
     run(test())
 
 
-def test_cancelled_connect_leaves_no_connection() -> None:
+def test_attempt_cancelled_while_connecting_leaves_no_connection() -> None:
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
@@ -227,7 +227,7 @@
     run(test())
 
 
-def test_connect_at_the_limit_evicts_the_longest_idle_connection() -> None:
+def test_new_connection_at_the_limit_evicts_the_longest_idle_connection() -> None:
     async def test() -> None:
         upstreams = [await UpstreamStub().start() for _ in range(3)]
         async with running_node(*upstreams) as harness:
--- a/tests/proxy/test_upstream_races.py
+++ b/tests/proxy/test_upstream_races.py
@@ -1,4 +1,4 @@
-"""Connects that complete after the deadline, and responses that arrive during the next request."""
+"""Connections made after the deadline, and responses that arrive during the next request."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from load_balancer.proxy import upstream_pool
 from load_balancer.proxy.clock import now_ms
 from tests.proxy.harness import run, running_node
-from tests.proxy.race_helpers import hold_connects, wait_until
+from tests.proxy.race_helpers import hold_connections, wait_until
 from tests.proxy.stubs import OK, TIMEOUT_S, UpstreamStub, make_request
 
 
 def test_connection_opened_after_the_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The attempt is aborted this long after its deadline; the connect completes in between.
+    # The attempt is aborted this long after its deadline; the connection is made in between.
     monkeypatch.setattr(upstream_pool, "LAST_READ_DELAY_S", 5.0)
 
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream, latency_objective_ms=200.0) as harness:
-            held_loop = hold_connects(harness)
+            held_loop = hold_connections(harness)
             client = await harness.connect()
             client.writer.write(make_request("pay"))
             await asyncio.wait_for(held_loop.completed.wait(), TIMEOUT_S)
