--- a/benchmarks/policy_cost.py
+++ b/benchmarks/policy_cost.py
@@ -55,7 +55,7 @@
         self._request_ids = itertools.count()
 
     def load_endpoints(self, count: int) -> float:
-        """Apply an endpoint list in parts, as a node does; return the longest processor time in ms."""
+        """Apply an endpoint list in parts, like the node; return the longest part's processor time in ms."""
         longest = 0.0
         for first in range(0, count, UPDATE_SIZE):
             entries = [policy_endpoint(i) for i in range(first, min(first + UPDATE_SIZE, count))]
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -49,7 +49,7 @@
     utilization: float
     """Share of the warmed-up endpoints' capacity that the steady traffic uses."""
     overload_factor: float
-    """Setting of the policy: multiple of its capacity that overloads an endpoint in slow start."""
+    """Setting of the policy: load that overloads an endpoint in slow start, as a multiple of its capacity."""
     drained_share: float = 0.0
     """Share of the warmed-up endpoints that start to drain when the burst begins."""
     seed: int = 0
@@ -62,10 +62,7 @@
 
 @dataclass(frozen=True)
 class WorstWindow:
-    """The time window in which the attempts at the new endpoint are highest relative to ``bound``.
-
-    Also has the number of windows in which they are above their bound.
-    """
+    """The time window in which the attempts at the new endpoint are highest relative to its ``bound``."""
 
     nodes: int
     attempts: int
@@ -80,7 +77,7 @@
 def overload_bound(allowed: float) -> float:
     """Return N + 2 sqrt(N) + 2, where N is `allowed`.
 
-    This is the mean number of attempts, two standard deviations of random variation, and 2 attempts.
+    N requests of average cost may reach this by chance: it is two standard deviations and 2 attempts more.
     """
     return allowed + 2 * math.sqrt(allowed) + 2
 
--- a/benchmarks/subsetting.py
+++ b/benchmarks/subsetting.py
@@ -94,7 +94,7 @@
     for subset in subsets:
         for endpoint_id in subset:
             loads[endpoint_id] += 1 / len(subset)
-    # With the rank method, only a sample of nodes is examined; other nodes' endpoints are left out.
+    # With the rank method, only a sample of nodes is examined: endpoints outside its subsets are left out.
     covered = sorted(load for load in loads.values() if load or not subsetter.by_rank)
     mean = sum(covered) / len(covered)
     return [load / mean for load in covered]
