--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -35,7 +35,8 @@
 
 
 def test_only_nodes_with_the_same_subset_map_keys_alike() -> None:
-    # Nodes of a subset that mapped keys differently would send each endpoint more keys than it can cache.
+    # If nodes that share a subset mapped keys differently, each endpoint would get more keys than it can
+    # cache.
     mappings = []
     for node in (0, 1, 23):  # nodes 0 and 1 share a subset, node 23 has another
         driver = PolicyDriver(
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -84,7 +84,7 @@
 
 
 def test_unanswered_attempts_neither_stall_an_endpoint_nor_count_as_load() -> None:
-    # An endpoint that never answers a few attempts but answers later ones is not stalled.
+    # An endpoint that leaves a few attempts unanswered but answers later ones is not stalled.
     driver = PolicyDriver(settings(classes=(LONG_DEADLINE,)), endpoints=4)
     unanswered = rejected = 0
     for step in range(1200):
@@ -102,7 +102,7 @@
 
 
 def test_random_failures_rarely_eject_an_endpoint_but_a_dead_one_is_ejected() -> None:
-    # Failures are counted by class: those of the other classes must not add up to an ejection.
+    # Failures are counted by class: those of several classes must not add up to an ejection.
     driver = PolicyDriver(
         settings(
             classes=(
@@ -186,7 +186,7 @@
 
 
 def test_one_rejected_attempt_that_may_have_run_is_enough_to_avoid_the_endpoint() -> None:
-    # After such a rejection the request can't be retried; otherwise another endpoint is tried.
+    # If a rejected attempt may have run, its request can't be retried; if not, another endpoint is tried.
     for may_have_run, max_count in ((True, 3), (False, 12)):
         config = settings(classes=(NOT_IDEMPOTENT,), rejected_may_have_run=may_have_run, max_attempts=1)
         driver = PolicyDriver(config, endpoints=10)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -52,7 +52,8 @@
     table.put(policy_endpoint(endpoints))
     table.put(replace(policy_endpoint(7), state=EndpointState.REMOVED))
     change_sizes = [len(old ^ new) for old, new in zip(before, subsets(), strict=True)]
-    # Each of the two changes affects one subset; len(before) / len(set(before)) nodes share it on average.
+    # Each of the two changes affects one subset, which is that of len(before) / len(set(before)) nodes on
+    # average.
     assert 0 < sum(change_sizes) <= 2 * len(before) / len(set(before)) + 2
 
 
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -74,7 +74,7 @@
 
 
 def test_many_immediate_responses_do_not_recurse() -> None:
-    # Each response serves the next queued request; nested calls would exceed the recursion limit.
+    # Each response starts the next queued request; nested calls for this would exceed the recursion limit.
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             client = await harness.connect()
@@ -228,7 +228,7 @@
             while not connection.write_paused:
                 await asyncio.sleep(0)
             idle = harness.node.listener.connections.in_state(ConnectionState.IDLE)
-            assert connection in idle  # closed after KEEP_ALIVE_TIMEOUT_S unless the client reads
+            assert connection in idle  # it closes after KEEP_ALIVE_TIMEOUT_S unless the client reads
             last_request_id = harness.node.requests.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
@@ -241,7 +241,8 @@
 
 
 def test_closed_connection_leaves_no_reference_cycle() -> None:
-    # A connection and its parser refer to each other; only the garbage collector would free them.
+    # A connection and its parser refer to each other: if that is not undone, only the garbage collector frees
+    # their memory.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
--- a/tests/proxy/test_idle_timeout.py
+++ b/tests/proxy/test_idle_timeout.py
@@ -52,7 +52,7 @@
             for _ in range(2):
                 assert (await client.exchange(make_request()))[0] == 200
                 (connection,) = pool.upstreams[stable_id(b"s-1")].idle_connections
-                connection.idle_since -= 1000.0  # as if idle for 1 s
+                connection.idle_since -= 1000.0  # as if it had been idle for 1 s longer
                 assert (await client.exchange(make_request()))[0] == 503
             assert 1000.0 <= pool.idle_timeout.current_ms < 5000.0
 
--- a/tests/proxy/test_node_events.py
+++ b/tests/proxy/test_node_events.py
@@ -12,7 +12,7 @@
 
 
 class InjectedFaultError(Exception):
-    """Raised by a policy that a test causes to fail."""
+    """Error that a test raises in the policy."""
 
 
 def test_request_is_removed_from_the_policy_after_an_exception_in_the_policy() -> None:
--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -105,7 +105,7 @@
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
             client = await harness.connect()
-            # Data that follows invalid input must not be parsed, as it may be a part of it.
+            # Data that follows invalid input must not be parsed, as it may be a part of the invalid request.
             received_status, head, _ = await client.exchange(data + make_request())
             assert (received_status, header(head, b"Connection")) == (status, b"close")
             assert await client.read_to_end() == b""
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -83,7 +83,7 @@
         (respond_with(HUGE_LENGTH_HEAD), AttemptResult.ERROR),
         (respond_with(CHUNKED_HEAD + b"11000\r\n" + bytes(0x11000)), AttemptResult.ERROR),
         (respond_with(CHUNKED_HEAD + b"4\r\ndone\r\n0\r\nX: " + b"y" * 200_000), AttemptResult.ERROR),
-        # Ambiguous framing and malformed heads.
+        # Ambiguous framing and malformed heads are errors.
         (
             respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone"),
             AttemptResult.ERROR,
@@ -107,7 +107,8 @@
             status, head, _ = await client.exchange(make_request())
             assert (await harness.next_attempt_end()).result == result
             assert status == (200 if result is AttemptResult.SUCCESS else 503)
-            assert (header(head, b"Retry-After") is None) == (status == 200)  # in each 503, never in a 200
+            # Each 503 has a Retry-After header; a 200 has none.
+            assert (header(head, b"Retry-After") is None) == (status == 200)
             assert not harness.node.requests.pending and not harness.node.pool.attempts
 
     run(test())
@@ -134,7 +135,7 @@
     async def test() -> None:
         upstream = await UpstreamStub(respond_with(HUGE_LENGTH_HEAD)).start()
         async with running_node(upstream) as harness:
-            # 502 instead of 503, since the request may have run.
+            # The response is 502 instead of 503, since the request may have run.
             assert (await (await harness.connect()).exchange(make_request("pay")))[0] == 502
             await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
 
@@ -195,7 +196,7 @@
             assert (await client.exchange(make_request()))[0] == 200
             responder.writers[0].write(OK.replace(b"done", b"late"))
             await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
-            assert not caplog.records  # closed deliberately, not by an exception
+            assert not caplog.records  # the connection was closed deliberately, not by an exception
             assert (await client.exchange(make_request()))[2] == b"done"
             assert upstream.connections == 2
 
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -72,7 +72,7 @@
             client, pool = await harness.connect(), harness.node.pool
             client.writer.write(make_request())
             await asyncio.wait_for(upstream.requests.get(), TIMEOUT_S)
-            for generation in range(2, 40):  # each replaces the previous one at the same address
+            for generation in range(2, 40):  # each endpoint replaces the previous one at the same address
                 added = upstream.entry(f"s-{generation}")
                 harness.apply_delta(generation, [added, upstream.entry(f"s-{generation - 1}", "left")])
             assert set(pool.upstreams) == {stable_id(b"s-1")}
--- a/tests/raw_settings.py
+++ b/tests/raw_settings.py
@@ -1,4 +1,4 @@
-"""A valid settings object with the protocol's names, which tests copy and change."""
+"""A valid settings object with the protocol's names, for tests to copy and change."""
 
 from __future__ import annotations
 
--- a/tests/simulator/frames.py
+++ b/tests/simulator/frames.py
@@ -12,7 +12,7 @@
     + "0c0005" + "00" * 45
     + "06 000aa5520e6f2b19" + "00" * 39
 )  # fmt: skip
-"""Batch 12: a request and a timer for instance 3, a cancellation for instance 5."""
+"""Batch 12, with a request and a timer for instance 3 and a cancellation for instance 5."""
 
 EVENT_BATCH_REPLY = bytes.fromhex(
     "0000000c 00000095 00000005"
@@ -22,7 +22,7 @@
     + "010005" + "00" * 21
     + "0a 00000000 00000011" + "00" * 15
 ) + b"two servers known"  # fmt: skip
-"""Reply to batch 12: an attempt and a timer of instance 3, a log line of instance 5."""
+"""Reply to batch 12, with an attempt and a timer of instance 3 and a log line of instance 5."""
 
 LIST_BATCH = bytes.fromhex(
     "00000001 000000d0 40c0e62000000000 00000003"
@@ -35,10 +35,10 @@
 """Batch 1, which stores endpoint list 0 and passes it to instance 3 as its cached snapshot."""
 
 SELECT_INSTANCE_3 = EVENT_BATCH[20:68]
-"""Record that selects instance 3: the first record of EVENT_BATCH."""
+"""The first record of EVENT_BATCH, which selects instance 3."""
 
 CACHED_ENDPOINTS_UPDATED = LIST_BATCH[116:164]
-"""Record of an update with endpoint list 0, which must be stored before: the last record of LIST_BATCH."""
+"""The last record of LIST_BATCH, an update with endpoint list 0, which must have been stored before."""
 
 EVENT_SIZE = 48  # bytes
 
