--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class WorstWindow:
-    """Window with the most attempts at the new endpoint relative to its bound."""
+    """The time window in which the attempts at the new endpoint are highest relative to its ``bound``."""
 
     nodes: int
     attempts: int
@@ -75,7 +75,10 @@
 
 
 def overload_bound(allowed: float) -> float:
-    """Return N + 2 sqrt(N) + 2, N being `allowed`: what N requests of average cost may reach by chance."""
+    """Return N + 2 sqrt(N) + 2, where N is `allowed`.
+
+    N requests of average cost may reach this by chance: it is two standard deviations and 2 attempts more.
+    """
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
@@ -86,16 +89,17 @@
 
 @dataclass(order=True, frozen=True, slots=True)
 class _ScheduledEvent:
-    """Event for a node; events at the same time are ordered as they were scheduled."""
+    """Event for a node. Events at the same time are processed in the order in which they were scheduled."""
 
     at: float
+    """Time in ms."""
     sequence_number: int
     node: int = field(compare=False)
     event: Event = field(compare=False)
 
 
 class _AttemptWindow:
-    """Sliding window of `length` ms over the attempts at the new endpoint; keeps the worst window so far."""
+    """Sliding window of `length` ms over the attempts at the new endpoint, which keeps its worst position."""
 
     def __init__(self, length: float) -> None:
         self.length = length
--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -18,7 +18,7 @@
             driver.serve(driver.request(key=key * 7919))
         endpoint_ids.append(target_ids(driver))
     same_count = sum(a == b for a, b in zip(*endpoint_ids, strict=True))
-    assert same_count > 200  # of 399 keys; about 10 would agree by chance
+    assert same_count > 200  # there are 399 keys, of which about 10 would agree by chance
 
 
 def test_hot_key_is_spread_over_several_endpoints() -> None:
@@ -35,7 +35,8 @@
 
 
 def test_only_nodes_with_the_same_subset_map_keys_alike() -> None:
-    # Nodes of a subset that mapped keys differently would send each endpoint more keys than it can cache.
+    # If nodes that share a subset mapped keys differently, each endpoint would get more keys than it can
+    # cache.
     mappings = []
     for node in (0, 1, 23):  # nodes 0 and 1 share a subset, node 23 has another
         driver = PolicyDriver(
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -39,7 +39,7 @@
         request_id = driver.request(class_index)
         driver.advance(IDEMPOTENT.latency_objective - 60.0)
         assert (len(driver.attempts[request_id]) == 2) is retried
-    costly = driver.request(0, cost_hint=100.0)  # the hint explains a long attempt: no early retry
+    costly = driver.request(0, cost_hint=100.0)  # the hint explains the long attempt: no retry yet
     driver.advance(IDEMPOTENT.latency_objective - 60.0)
     assert len(driver.attempts[costly]) == 1
 
@@ -52,7 +52,7 @@
         request_id = driver.request()
         if driver.is_in_flight(request_id):
             driver.serve(request_id, 150.0)
-    set_typical_latency_by_class(driver, [50.0])  # the mean latency alone shows the congestion
+    set_typical_latency_by_class(driver, [50.0])  # so only the mean latency shows the congestion
     sent = [command for command in driver.commands_for_new_request(0) if isinstance(command, SendAttempt)]
     assert [command.timeout for command in sent] == [IDEMPOTENT.latency_objective]
 
@@ -112,7 +112,7 @@
     assert driver.outcomes[request_id] == RequestOutcome.REJECTED
 
 
-def test_not_idempotent_request_that_may_have_run_fails_without_a_retry() -> None:
+def test_non_idempotent_request_that_may_have_run_fails_without_a_retry() -> None:
     for result in (AttemptResult.ERROR, AttemptResult.RESET, AttemptResult.TIMEOUT):
         driver = PolicyDriver(settings())
         request_id = driver.request(2)
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -31,7 +31,7 @@
 
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 HUGE_LENGTH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"
-TCP_ESTABLISHED = 1  # as tcpi_state, the first byte of TCP_INFO
+TCP_ESTABLISHED = 1  # value of tcpi_state, the first byte of TCP_INFO
 
 
 class RecordingResponder:
@@ -83,7 +83,7 @@
         (respond_with(HUGE_LENGTH_HEAD), AttemptResult.ERROR),
         (respond_with(CHUNKED_HEAD + b"11000\r\n" + bytes(0x11000)), AttemptResult.ERROR),
         (respond_with(CHUNKED_HEAD + b"4\r\ndone\r\n0\r\nX: " + b"y" * 200_000), AttemptResult.ERROR),
-        # Ambiguous framing and malformed heads.
+        # Ambiguous framing and malformed heads are errors.
         (
             respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone"),
             AttemptResult.ERROR,
@@ -107,7 +107,8 @@
             status, head, _ = await client.exchange(make_request())
             assert (await harness.next_attempt_end()).result == result
             assert status == (200 if result is AttemptResult.SUCCESS else 503)
-            assert (header(head, b"Retry-After") is None) == (status == 200)  # in each 503, never in a 200
+            # Each 503 has a Retry-After header; a 200 has none.
+            assert (header(head, b"Retry-After") is None) == (status == 200)
             assert not harness.node.requests.pending and not harness.node.pool.attempts
 
     run(test())
@@ -134,7 +135,7 @@
     async def test() -> None:
         upstream = await UpstreamStub(respond_with(HUGE_LENGTH_HEAD)).start()
         async with running_node(upstream) as harness:
-            # 502 instead of 503, since the request may have run.
+            # The response is 502 instead of 503, since the request may have run.
             assert (await (await harness.connect()).exchange(make_request("pay")))[0] == 502
             await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
 
@@ -168,7 +169,7 @@
             await other_client.exchange(b"GET /_health HTTP/1.1\r\n\r\n")
             assert (await client.exchange(make_request()))[0] == 200
             pool, (connection,) = harness.node.pool, harness.node.pool.connections
-            # No loop iteration until pool.send, so that the event loop can't read the data first.
+            # There is no await before pool.send, so the event loop can't read the data first.
             sock = responder.writers[0].get_extra_info("socket")
             if unread:
                 os.write(sock.fileno(), unread)
@@ -195,7 +196,7 @@
             assert (await client.exchange(make_request()))[0] == 200
             responder.writers[0].write(OK.replace(b"done", b"late"))
             await asyncio.wait_for(upstream.disconnects.get(), TIMEOUT_S)
-            assert not caplog.records  # closed deliberately, not by an exception
+            assert not caplog.records  # the connection was closed deliberately, not by an exception
             assert (await client.exchange(make_request()))[2] == b"done"
             assert upstream.connections == 2
 
@@ -203,8 +204,8 @@
 
 
 def test_socket_of_a_cancelled_attempt_is_shut_down_before_cancel_returns() -> None:
-    # The transport closes the socket a loop iteration later: until then, a retry would put the request in
-    # flight twice.
+    # The transport closes the socket one iteration of the event loop later. Until then, a retry would put the
+    # request in flight twice.
     async def test() -> None:
         upstream = await UpstreamStub(never_respond).start()
         async with running_node(upstream) as harness:
@@ -255,7 +256,7 @@
     run(test())
 
 
-def test_failed_connect_leaves_no_reference_cycle() -> None:
+def test_failure_to_connect_leaves_no_reference_cycle() -> None:
     # ResponseParser and the httptools parser refer to each other: if that is not undone, only the garbage
     # collector frees their memory.
     async def test() -> None:
