--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -126,7 +126,9 @@
 @main.command("mass-restart")
 @numbers_option("--nodes", "node_counts", "100,300,1000")
 @click.option("--endpoints", default=200)
-@click.option("--call-ms", default=10.0, help="Time in ms that each call occupies discovery, one at a time.")
+@click.option(
+    "--call-ms", default=10.0, help="Time in ms that discovery takes per call; it processes one at a time."
+)
 @click.option("--unavailable-for", default=0.0, help="Seconds at the start during which discovery is down.")
 @click.option("--rate", default=1.0, help="Changes of the endpoint list per second.")
 @click.option("--seconds", default=10.0)
@@ -156,7 +158,11 @@
 @click.option(
     "--overload-factor", default=3.0, help="Load that overloads an endpoint, as a multiple of its capacity."
 )
-@click.option("--drained", default=0.9, help="Share of the warmed-up endpoints that drain from the burst on.")
+@click.option(
+    "--drained",
+    default=0.9,
+    help="Share of the warmed-up endpoints that start to drain when the burst of traffic begins, 0 to 1.",
+)
 @click.option("--seeds", default=3)
 @json_option
 def slow_start_command(
@@ -207,7 +213,7 @@
 def subsetting_command(endpoints: int, nodes: int, file: str | None) -> None:
     """Measure, by rank and by arc, how evenly the subsets cover the endpoints and how changes alter them."""
     rows = [asdict(subsetting.measure_coverage(endpoints, nodes, by_rank)) for by_rank in (True, False)]
-    show_table(f"subsets of {nodes} nodes of {endpoints} endpoints", rows, file)
+    show_table(f"subsets for {nodes} nodes, of {endpoints} endpoints", rows, file)
 
 
 if __name__ == "__main__":
--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -79,8 +79,8 @@
     def _record_ages(self, endpoints: list[Endpoint]) -> None:
         unix_offset_ms = self.node.endpoint_updater.unix_offset_ms
         for endpoint in endpoints:
-            # 0 in the initial list, whose later parts arrive here too; set by a restart, the only kind of
-            # change.
+            # `started_at` is 0 in the initial list, whose later parts arrive here too. Only a restart sets
+            # it, and restarts are the only kind of change.
             if endpoint.started_at:
                 age = time.time() - (endpoint.started_at + unix_offset_ms) / 1000
                 self._change_ages.record_value(max(1, int(age * MICROSECONDS_PER_S)))
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -99,7 +99,10 @@
 
 
 class _AttemptWindow:
-    """Sliding window of `length` ms over the attempts at the new endpoint, which keeps its worst position."""
+    """Sliding window of `length` ms over the attempts at the new endpoint.
+
+    It records the window with the highest ratio of attempts to bound.
+    """
 
     def __init__(self, length: float) -> None:
         self.length = length
--- a/benchmarks/slow_start_chance.py
+++ b/benchmarks/slow_start_chance.py
@@ -30,7 +30,9 @@
     chance_lapsing: float
     """Probability if earned attempts expire as in the policy, but the phases of the nodes are random."""
     most_spread: int
-    """Most attempts at once in the policy, which spreads the phases of the nodes evenly over 0 to 1."""
+    """Highest possible number of nodes that send an attempt in the window, with phases spread as in the
+    policy: evenly over 0 to 1.
+    """
     bound: float
     """Limit above which attempts per window count as overload: N plus an allowance for random variation."""
 
@@ -43,14 +45,14 @@
     # The allowance in SlowStart._lifetime, but without the minimum lifetime of an earned attempt.
     max_saved = max(allowed - attempts, 0.0) + math.sqrt(allowed) + 1
     bound = overload_bound(allowed)
-    available = attempts + min(max_saved, attempts * idle_windows)
+    usable_attempts = attempts + min(max_saved, attempts * idle_windows)
     return OverloadChance(
         nodes=nodes,
         attempts=attempts,
         allowed=allowed,
         chance_saved=_probability_above(bound, nodes, attempts * (1 + idle_windows)),
-        chance_lapsing=_probability_above(bound, nodes, available),
-        most_spread=_max_simultaneous(nodes, min(1.0, available / nodes)),
+        chance_lapsing=_probability_above(bound, nodes, usable_attempts),
+        most_spread=_max_simultaneous(nodes, min(1.0, usable_attempts / nodes)),
         bound=bound,
     )
 
--- a/tests/policy/driver.py
+++ b/tests/policy/driver.py
@@ -236,7 +236,7 @@
 
     def _run_next_due(self, end: float) -> bool:
         """Run the next timer or attempt timeout due by `end` ms; return False if there is none."""
-        due = [(at, 0, token, 0) for at, token in self.timers]  # sorts first at equal times
+        due = [(at, 0, token, 0) for at, token in self.timers]  # the 0 puts timers first at equal times
         due += [(at, 1, *attempt_id) for attempt_id, at in self.attempts_in_flight.items()]
         due = sorted(entry for entry in due if entry[0] <= end)
         if not due:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -120,7 +120,7 @@
             driver.request()
         for endpoint_id in target_ids(driver):
             sent[endpoint_id] += 1
-    # At 100 ms per request, a warm endpoint serves 10/s one at a time, and a fifth of that at first. In
-    # the second that has passed, 2.5 times as many attempts are allowed, and 5 more.
+    # At 100 ms per request, a warm endpoint that serves one request at a time serves 10/s; a new one starts
+    # at a fifth of that. The test lasts one second, and allows 2.5 times that number of attempts plus 5.
     assert sum(sent) > 0
     assert max(sent) <= 10 * 0.2 * 2.5 + 5
--- a/tests/proxy/test_upstream_races.py
+++ b/tests/proxy/test_upstream_races.py
@@ -15,7 +15,8 @@
 
 
 def test_connection_opened_after_the_deadline_carries_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The attempt is aborted this long after its deadline; the connection is made in between.
+    # LAST_READ_DELAY_S is the time from an attempt's deadline to its abort. At 5 s, the held connection is
+    # released before the abort.
     monkeypatch.setattr(upstream_pool, "LAST_READ_DELAY_S", 5.0)
 
     async def test() -> None:
--- a/tests/simulator/frames.py
+++ b/tests/simulator/frames.py
@@ -5,20 +5,20 @@
 import struct
 
 EVENT_BATCH = bytes.fromhex(
-    "0000000c 00000104 40c06e2000000000 00000005"
+    "0000000c 00000104 40c06e2000000000 00000005"  # batch 12, 0x104 bytes, 8412.25 ms, 5 records
     + "0c0003" + "00" * 45
     + "03 000464905d3a91c4 0000 00000000 91f03b7c55d20a64 40c0e62000000000 4028000000000000 0001" + "00" * 7
-    + "07 000000000000004d" + "00" * 39
+    + "07 000000000000004d" + "00" * 39  # timer with token 77
     + "0c0005" + "00" * 45
-    + "06 000aa5520e6f2b19" + "00" * 39
+    + "06 000aa5520e6f2b19" + "00" * 39  # request cancelled
 )  # fmt: skip
 """Batch 12, with a request and a timer for instance 3 and a cancellation for instance 5."""
 
 EVENT_BATCH_REPLY = bytes.fromhex(
-    "0000000c 00000095 00000005"
+    "0000000c 00000095 00000005"  # batch 12, 0x95 bytes, 5 records
     + "010003" + "00" * 21
     + "08 000464905d3a91c4 03124a07 4054000000000000" + "00" * 3
-    + "07 407f400000000000 000000000000004d" + "00" * 7
+    + "07 407f400000000000 000000000000004d" + "00" * 7  # set timer: 500 ms, token 77
     + "010005" + "00" * 21
     + "0a 00000000 00000011" + "00" * 15
 ) + b"two servers known"  # fmt: skip
