--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -45,7 +45,7 @@
             if isinstance(command, RejectRequest):
                 rejected[step % 3] += 1
                 retry_after_delays.append(command.retry_after)
-    assert rejected[0] == 0  # its priority weight is ten times that of the others
+    assert rejected[0] == 0  # class 0 has ten times the priority weight of the others
     assert rejected[1] + rejected[2] > 300
     assert min(retry_after_delays) > 0 and max(retry_after_delays) <= 2000.0
     low_score_delays = [retry_after(driver, 1.0) for _ in range(200)]
--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -25,7 +25,7 @@
     driver = PolicyDriver(settings(endpoints_cache_keys=True, classes=(NOT_IDEMPOTENT,)), endpoints=40)
     for step in range(600):
         driver.now += 10
-        driver.serve(driver.request(key=5 if step % 3 else step + 10))  # two thirds have key 5
+        driver.serve(driver.request(key=5 if step % 3 else step + 10))  # two requests in three have key 5
     hot_key_endpoint_ids = [
         command.endpoint_id
         for command in driver.commands
--- a/tests/policy/test_control_work.py
+++ b/tests/policy/test_control_work.py
@@ -47,7 +47,8 @@
     small, large = make_policy(2_000), make_policy(20_000)
     assert update_cost(large) <= 2 * update_cost(small)
     assert refresh_cost(large) <= 2 * refresh_cost(small)
-    assert len(large._registry) < 2_000 and large._registry.table.ready_count == 20_000  # few are tracked
+    # Only a few of the endpoints are tracked.
+    assert len(large._registry) < 2_000 and large._registry.table.ready_count == 20_000
     assert refresh_cost(make_policy(50, tenants=50_000)) <= 2 * refresh_cost(make_policy(50, tenants=50))
     # 20 times as many classes: the cost would be 400 times as high if it were quadratic.
     assert refresh_cost(make_policy(50, classes=120)) <= 30 * refresh_cost(make_policy(50, classes=6))
--- a/tests/policy/test_key_sequencing.py
+++ b/tests/policy/test_key_sequencing.py
@@ -31,7 +31,7 @@
     assert [len(driver.attempts[n]) for n in [*queued, other_key, not_sequential]] == [1, 0, 0, 1, 1]
     driver.serve(queued[0])
     assert [len(driver.attempts[n]) for n in queued] == [1, 1, 0]
-    driver.cancel(queued[2])  # it is the last in the queue, and the next request takes its place
+    driver.cancel(queued[2])  # the last in the queue; the next request takes its place
     new_last = driver.request(0, key=7)
     driver.serve(queued[1])
     assert len(driver.attempts[new_last]) == 1
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -20,7 +20,7 @@
             driver.now += 5
             driver.serve(driver.request(key=step * 7919 + 1 if with_keys else 0))
         share = sum(endpoint_id < 10 for endpoint_id in target_ids(driver)) / 2000
-        assert 0.45 < share < 0.7  # they have 40 of the total weight of 70
+        assert 0.45 < share < 0.7  # these endpoints have 40 of the total weight of 70
 
 
 def test_endpoints_with_weight_0_share_the_traffic() -> None:
@@ -50,7 +50,7 @@
             request_id, 0, AttemptResult.SUCCESS, 300.0 if target_ids(driver)[-1] < 4 else 60.0
         )
     share = sum(endpoint_id < 4 for endpoint_id in target_ids(driver)[-1500:]) / 1500
-    assert share < 0.06  # they are a tenth of the endpoints
+    assert share < 0.06  # slow endpoints are a tenth of all
 
 
 def test_endpoint_with_fewer_attempts_in_flight_is_preferred() -> None:
@@ -61,7 +61,7 @@
         request_id = driver.request()
         driver.serve(request_id)
         driver.now += 1
-    assert target_ids(driver)[1:].count(busy_endpoint) < 10  # at random it would be half
+    assert target_ids(driver)[1:].count(busy_endpoint) < 10  # a random choice would send it half of the 100
 
 
 def test_cross_zone_cost_makes_idle_endpoints_in_the_zone_of_the_node_come_first() -> None:
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -47,7 +47,8 @@
     for i in range(endpoints):
         table.put(policy_endpoint(i))
     before = subsets()
-    assert frozenset.union(*before) == {policy_endpoint(i).id for i in range(endpoints)}  # none is left out
+    # Every endpoint is in a subset.
+    assert frozenset.union(*before) == {policy_endpoint(i).id for i in range(endpoints)}
     assert all(len(subset) >= 48 for subset in before)
     table.put(policy_endpoint(endpoints))
     table.put(replace(policy_endpoint(7), state=EndpointState.REMOVED))
--- a/tests/proxy/race_helpers.py
+++ b/tests/proxy/race_helpers.py
@@ -32,7 +32,7 @@
         try:
             await self.release.wait()
         except asyncio.CancelledError:
-            connection[0].abort()  # as the real loop does on cancellation
+            connection[0].abort()  # the real loop aborts it on cancellation too
             raise
         return connection
 
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -213,7 +213,7 @@
 
 
 def test_queued_requests_wait_while_client_does_not_read() -> None:
-    # Serving them would buffer any number of responses for a client that does not read.
+    # Serving queued requests would buffer any number of responses for a client that does not read.
     large_body = b"x" * 60_000
 
     async def test() -> None:
@@ -228,7 +228,7 @@
             while not connection.write_paused:
                 await asyncio.sleep(0)
             idle = harness.node.listener.connections.in_state(ConnectionState.IDLE)
-            assert connection in idle  # it closes after KEEP_ALIVE_TIMEOUT_S unless the client reads
+            assert connection in idle  # an idle one closes after KEEP_ALIVE_TIMEOUT_S
             last_request_id = harness.node.requests.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
@@ -241,8 +241,8 @@
 
 
 def test_closed_connection_leaves_no_reference_cycle() -> None:
-    # A connection and its parser refer to each other: if that is not undone, only the garbage collector frees
-    # their memory.
+    # A connection and its parser refer to each other: unless the node clears the references, only the
+    # garbage collector frees their memory.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream) as harness:
--- a/tests/proxy/test_client_disconnect_races.py
+++ b/tests/proxy/test_client_disconnect_races.py
@@ -141,7 +141,7 @@
             # With a reusable connection, nothing but the disconnect keeps the request from being sent.
             harness.age_idle_connections()
             listener = harness.node.listener
-            listener.pause_accepting()  # as it does at the connection limit
+            listener.pause_accepting()  # the listener also pauses at the connection limit
             with connect_raw(harness) as client:
                 client.sendall(make_request())
             listener.resume_accepting()
--- a/tests/proxy/test_configuration_reload.py
+++ b/tests/proxy/test_configuration_reload.py
@@ -52,7 +52,7 @@
             )
             assert (await client.exchange(make_request()))[0] == 200
             assert (upstream_1.requests.qsize(), upstream_2.requests.qsize()) == (1, 1)
-            node.process.send_signal(signal.SIGHUP)  # same address: the watch stays open
+            node.process.send_signal(signal.SIGHUP)  # the discovery address is the same: the watch stays open
             await node.next_line("configuration reloaded")
             discovery_2.push(8, [upstream_1.entry()], reset=True)
             await node.next_line("endpoint list version 8 ")
--- a/tests/proxy/test_endpoint_updater.py
+++ b/tests/proxy/test_endpoint_updater.py
@@ -10,7 +10,7 @@
 
 
 def test_removed_and_draining_endpoints_are_reported_first() -> None:
-    # If they came later, they could still be sent requests while the rest of a large update is applied.
+    # Endpoints reported later could still be sent requests while the rest of a large update is applied.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         async with running_node(upstream, upstream, upstream) as harness:
--- a/tests/proxy/test_eviction.py
+++ b/tests/proxy/test_eviction.py
@@ -45,7 +45,7 @@
             assert closing_count > 0
             new_client = await harness.connect()
             assert (await new_client.exchange(make_request()))[0] == 200
-            # One of them was evicted, and the new one is closing too, since many connections are idle.
+            # One closing connection was evicted; the new one is closing too, since many are idle.
             assert len(table.in_state(ConnectionState.CLOSING)) == closing_count
             assert (await clients[0].exchange(make_request()))[0] == 200
             assert len(table) == table.limit
@@ -75,8 +75,8 @@
 
 
 def test_connection_with_an_incomplete_request_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Before this rule, 200 clients that had each sent only a part of their headers used up the limit, and 50
-    # requests of regular clients were not accepted.
+    # Before such connections were evicted, 200 clients that had each sent only a part of their headers used
+    # up the limit, and 50 requests of regular clients were not accepted.
     monkeypatch.setattr(eviction, "SLOW_REQUEST_AGE_S", 0.0)
 
     async def test() -> None:
--- a/tests/proxy/test_listener.py
+++ b/tests/proxy/test_listener.py
@@ -16,8 +16,8 @@
 
 
 def test_connections_close_after_their_response_when_many_are_idle() -> None:
-    # Before this rule, clients that sent one request and kept their connection open used up the limit: with
-    # 128 idle connections, 6 in 10 of a day's requests were never accepted.
+    # Before connections closed in this way, clients that sent one request and kept their connection open used
+    # up the limit: with 128 idle connections, 6 in 10 of a day's requests were never accepted.
     async def test() -> None:
         async with running_node(await UpstreamStub().start()) as harness:
             harness.node.listener.connections.limit = 6
--- a/tests/proxy/test_shutdown_races.py
+++ b/tests/proxy/test_shutdown_races.py
@@ -60,7 +60,7 @@
 def test_request_late_in_a_graceful_shutdown_gets_a_response_before_sigkill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # If its deadline were not limited, the request would still be in flight at SIGKILL.
+    # Without a limit on its deadline, the request would still be in flight at SIGKILL.
     monkeypatch.setattr(graceful_shutdown, "SIGKILL_DELAY_MS", 0.0)
     monkeypatch.setattr(graceful_shutdown, "SIGKILL_MAX_DEADLINE_MS", 2000.0)
 
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("status", [400, 404, 499])
 def test_client_error_responses_are_final_and_do_not_count_against_the_upstream(status: int) -> None:
-    # If they were failures and retried, one client's invalid request could eject every endpoint.
+    # If client errors were failures and retried, one client's invalid request could eject every endpoint.
     async def test() -> None:
         responder = respond_with(b"HTTP/1.1 %d No\r\nContent-Length: 3\r\n\r\nbad" % status)
         upstreams = [await UpstreamStub(responder).start() for _ in range(3)]
@@ -224,8 +224,8 @@
 
 
 def test_closed_connection_leaves_no_reference_cycle() -> None:
-    # ResponseParser and the httptools parser refer to each other: if that is not undone, only the garbage
-    # collector frees their memory.
+    # ResponseParser and the httptools parser refer to each other: unless the node clears the references,
+    # only the garbage collector frees their memory.
     async def test() -> None:
         upstream = await UpstreamStub(
             respond_with(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
@@ -257,8 +257,8 @@
 
 
 def test_failure_to_connect_leaves_no_reference_cycle() -> None:
-    # ResponseParser and the httptools parser refer to each other: if that is not undone, only the garbage
-    # collector frees their memory.
+    # ResponseParser and the httptools parser refer to each other: unless the node clears the references,
+    # only the garbage collector frees their memory.
     async def test() -> None:
         upstream = await UpstreamStub().start()
         upstream.server.close()
