--- a/benchmarks/discovery_stub.py
+++ b/benchmarks/discovery_stub.py
@@ -49,7 +49,7 @@
     call_time: float = 0.0
     """Time to process a call; calls are processed one after the other."""
     max_wait: float = 2.0
-    """Calls that have waited for longer are rejected with status 503."""
+    """Time for which a call may wait for earlier calls; after that it is rejected with status 503."""
     unavailable_for: float = 0.0
     """Time from the start during which all connections are refused."""
     seed: int = 1
@@ -156,7 +156,7 @@
             await writer.drain()
 
     async def _admit_call(self) -> bool:
-        """Wait for earlier calls and for the call's own time; return False if earlier calls took too long."""
+        """Wait for earlier calls, then for `call_time`; return False if earlier calls took too long."""
         self._counts["calls"] += 1
         if not self._plan.call_time:
             return True
--- a/benchmarks/hollow_nodes.py
+++ b/benchmarks/hollow_nodes.py
@@ -39,7 +39,7 @@
     listed_half: float
     """Time from when discovery was available until half of the nodes had applied a part of their list."""
     listed_all: float
-    """The same time for all nodes, or infinity if some had applied no part of their list by the end."""
+    """Like `listed_half`, for all nodes; infinity if some had applied no part of their list by the end."""
     in_force_p50: float
     """Median time from a change at discovery until it is in force at a node."""
     in_force_worst: float
--- a/benchmarks/stub_reports.py
+++ b/benchmarks/stub_reports.py
@@ -18,7 +18,7 @@
     """The stub has begun to accept calls, after the period at the start in which it was unavailable."""
 
     at: float
-    """Unix time in s at which this happened."""
+    """Unix time in s at which the stub began to accept calls."""
 
 
 @dataclass(frozen=True)
--- a/tests/proxy/stubs.py
+++ b/tests/proxy/stubs.py
@@ -18,7 +18,7 @@
 TIMEOUT_S = 10.0  # limit for anything that a test waits for; reached only if the test fails
 
 Responder = Callable[["UpstreamStub", bytes, asyncio.StreamWriter], Awaitable[None]]
-"""Called with the stub, the head of a request and a writer, to which it writes the upstream's response."""
+"""Gets the stub, the head of a request and a writer, and writes the upstream's response to the writer."""
 
 
 async def respond_ok(upstream: UpstreamStub, head: bytes, writer: asyncio.StreamWriter) -> None:
