--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -68,7 +68,7 @@
     for _ in range(300):  # the policy learns a latency of 50 ms
         driver.now += 20
         driver.serve(driver.request(deadline_in=5500.0))
-    for _ in range(6):  # all are answered below, except those on one endpoint
+    for _ in range(6):  # all requests are answered below, except those on one endpoint
         driver.request(deadline_in=5500.0)
     stalled_id = target_ids(driver)[-1]
     for request, attempt in list(driver.attempts_in_flight):
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -52,7 +52,7 @@
         request_id = driver.request()
         if driver.is_in_flight(request_id):
             driver.serve(request_id, 150.0)
-    set_typical_latency_by_class(driver, [50.0])  # so only the mean latency shows the congestion
+    set_typical_latency_by_class(driver, [50.0])  # now only the mean latency shows the congestion
     sent = [command for command in driver.commands_for_new_request(0) if isinstance(command, SendAttempt)]
     assert [command.timeout for command in sent] == [IDEMPOTENT.latency_objective]
 
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -228,7 +228,8 @@
             while not connection.write_paused:
                 await asyncio.sleep(0)
             idle = harness.node.listener.connections.in_state(ConnectionState.IDLE)
-            assert connection in idle  # an idle one closes after KEEP_ALIVE_TIMEOUT_S
+            # An idle connection closes after KEEP_ALIVE_TIMEOUT_S unless the client reads.
+            assert connection in idle
             last_request_id = harness.node.requests.last_request_id
             for _ in range(50):
                 await asyncio.sleep(0)
