--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -15,8 +15,8 @@
 PEAK_WINDOW = 20000.0  # time constant in ms of the decay of the peak goodput
 # Number of responses over which the share of late responses is averaged. The mean latency is averaged over as
 # many useful responses as arrive in a GOODPUT_WINDOW, but over no fewer than this.
-MIN_LATENCY_WINDOW = 60.0
-MIN_SAMPLES = MIN_LATENCY_WINDOW / 5  # number of responses below which the mean latency counts as unknown
+MIN_AVERAGED_RESPONSES = 60.0
+MIN_SAMPLES = MIN_AVERAGED_RESPONSES / 5  # number of responses below which the mean latency counts as unknown
 # Time constant in ms of the growth of the lowest mean latency, which lets it follow requests that become more
 # expensive.
 LOWEST_LATENCY_GROWTH_TIME = 100000.0
@@ -64,12 +64,12 @@
 
     def record_timeliness(self, late: bool) -> None:
         """Record whether a response was late; timeouts count as late."""
-        self._late_ratio += (late - self._late_ratio) / MIN_LATENCY_WINDOW
+        self._late_ratio += (late - self._late_ratio) / MIN_AVERAGED_RESPONSES
 
     def record_useful_response(self, elapsed: float) -> None:
         """Record a useful response that arrived ``elapsed`` ms after its attempt was sent."""
         self._useful_responses += 1
-        window = max(MIN_LATENCY_WINDOW, self._responses_per_window())
+        window = max(MIN_AVERAGED_RESPONSES, self._responses_per_window())
         self._latency_samples = min(self._latency_samples + 1, window)
         self.mean_latency += (elapsed - self.mean_latency) / self._latency_samples
 
@@ -124,7 +124,7 @@
         # When traffic grows, the send rate rises before the goodput. Attempts in flight alone do not show
         # growth, as they also rise when responses slow down. With few responses a slowdown is seen too late.
         low_latency = self.mean_latency < LOW_LATENCY_RATIO * self.lowest_mean_latency
-        enough_responses = self._responses_per_window() > MIN_LATENCY_WINDOW / 2
+        enough_responses = self._responses_per_window() > MIN_AVERAGED_RESPONSES / 2
         if failure_ratio < MAX_GROWTH_FAILURE_RATIO and low_latency and enough_responses:
             self._peak_goodput = max(self._peak_goodput, send_rate)
 
--- a/load_balancer/policy/endpoint_registry.py
+++ b/load_balancer/policy/endpoint_registry.py
@@ -102,9 +102,9 @@
         if not tracked.attempts:
             self._busy.pop(event.endpoint_id, None)
         if event.result in (AttemptResult.SUCCESS, AttemptResult.ERROR):
-            tracked.last_answered_sent_at = max(tracked.last_answered_sent_at, attempt.sent_at)
+            tracked.latest_answered_send_time = max(tracked.latest_answered_send_time, attempt.sent_at)
         elif event.result is AttemptResult.REJECTED:
-            tracked.last_rejected_sent_at = max(tracked.last_rejected_sent_at, attempt.sent_at)
+            tracked.latest_rejected_send_time = max(tracked.latest_rejected_send_time, attempt.sent_at)
         self._drop_if_removed(tracked)
         return attempt
 
--- a/load_balancer/policy/latency.py
+++ b/load_balancer/policy/latency.py
@@ -37,8 +37,8 @@
     def record_relative_latency(self, class_index: int, machine_type: int, elapsed: float) -> float:
         """Record a response or timeout after ``elapsed`` ms.
 
-        The latency also goes into the factor of the machine type, which has many samples; a single endpoint
-        has few.
+        The latency also updates the factor of the machine type, which is estimated per type because a single
+        endpoint has few samples.
 
         Returns:
             Latency as a multiple of the typical latency of the class on the machine type.
--- a/load_balancer/policy/outliers.py
+++ b/load_balancer/policy/outliers.py
@@ -16,9 +16,9 @@
 from load_balancer.policy.tracked_endpoint import TrackedEndpoint
 from load_balancer.policy.working_set import WorkingSet
 
-BASE_RATIO_LIMIT = 0.4  # failure ratio above which an endpoint is an outlier while no others fail
+BASE_RATIO_LIMIT = 0.4  # limit on the failure ratio while no others fail; an endpoint above it is an outlier
 FLEET_RATIO_FACTOR = 3  # multiple of the fleet's unweighted failure ratio that is added to the limit
-MAX_RATIO_LIMIT = 0.85  # upper bound of the limit
+MAX_RATIO_LIMIT = 0.85  # highest limit on the failure ratio, however many endpoints fail
 SUCCESS_DECAY = 0.7  # factor by which a success reduces the failure ratio
 BASE_EJECTION_TIME = 2000.0  # ms; doubles with each recent ejection
 MAX_DOUBLINGS = 4
@@ -52,7 +52,7 @@
         settings: Node settings; if ``rejected_may_have_run``, a rejection counts as an error.
         rng: Source of random numbers.
         registry: Tracked endpoints, whose health the detector writes.
-        working_set: Working set, of whose subset only a share may be ejected.
+        working_set: Working set; only a share of its subset may be ejected.
         failures: Failure ratio of all endpoints together.
     """
 
--- a/load_balancer/policy/overload.py
+++ b/load_balancer/policy/overload.py
@@ -16,8 +16,8 @@
 MIN_AVERAGING_UPDATES = 4  # minimum of that window, in update intervals
 MAX_AVERAGING_UPDATES = 100  # maximum of that window, in update intervals
 REJECTION_FAILURE_FACTOR = 2  # minimum weight of a rejection, as a multiple of the unweighted failure ratio
-# Weight of an error or reset that comes after the typical latency. Others weigh in proportion to the time
-# since the attempt was sent, up to 1, as earlier ones put less load on an endpoint.
+# Weight of an error or reset whose elapsed time equals the typical latency. The weight is proportional to the
+# time since the attempt was sent, at most 1, as an early failure has put less load on the endpoint.
 ERROR_WEIGHT = 0.5
 
 
--- a/load_balancer/policy/retries.py
+++ b/load_balancer/policy/retries.py
@@ -16,7 +16,7 @@
 from load_balancer.policy.settings import DeduplicationScope, Idempotency, Settings
 
 OVERDUE_FACTOR = 4.0  # multiple of the typical latency after which an attempt is overdue
-COST_HINT_FACTOR = 2  # this multiple of the cost hint replaces the typical latency if that is shorter
+COST_HINT_FACTOR = 2  # in early timeouts, this multiple of the cost hint replaces a shorter typical latency
 MIN_ATTEMPT_TICKS = 2  # shortest expected duration of an attempt, in clock ticks
 MIN_LATENCY_SHARE = 0.5  # shortest expected duration of an attempt, as a share of the typical latency
 CONNECT_FAILURE_GAIN = 0.1  # weight of a new attempt in the moving average of failed connections
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -145,9 +145,10 @@
     def _sample(self, now: float) -> list[int]:
         """Sample ids of the subset, with replacement.
 
-        Endpoints in this node's zone come first, even if crossing zones has no cost. (If it has one
-        and endpoints don't cache keys, ``_idle_in_own_zone`` has already searched the zone for an idle
-        endpoint.) Inside and outside the zone, endpoints with more capacity are more likely to come first.
+        Endpoints in this node's zone come first, even if crossing zones has no cost. (If crossing
+        zones has a cost and endpoints don't cache keys, ``_idle_in_own_zone`` has already searched the zone
+        for an idle endpoint.) Inside and outside the zone, endpoints with more capacity are more likely to
+        come first.
         """
         ids, size = self._working_set.subset.ids, self._working_set.subset.size
         sampled = [ids[int(self._random.random() * size)] for _ in range(SAMPLE_SIZE) if ids]
--- a/load_balancer/policy/settings.py
+++ b/load_balancer/policy/settings.py
@@ -98,7 +98,10 @@
     poll_interval_limit: float = 10000.0
     """Time in ms within which a failed discovery call must be retried; the backoff is a fraction of it."""
     stale_endpoints_limit: float = math.inf
-    """Time in ms after the last contact with discovery until a drain that the node missed can take effect."""
+    """Time in ms after the last contact with discovery for which all listed endpoints can be used.
+
+    A drain that the node missed takes effect no earlier.
+    """
     tick: float = 1.0
     """Maximum time in ms between two readings of the caller's clock."""
     can_cancel: bool = False
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -90,13 +90,13 @@
     def _lifetime(self, rate: float) -> float:
         """Return the time in ms for which an earned attempt can be used.
 
-        All nodes together earn ``expected`` attempts per overload window. Their unused attempts, sent at
-        once, come on top. The lifetime keeps the sum within ``base_limit`` (or ``expected``, if larger) plus
-        one standard deviation and 1 attempt: half of the random variation that an endpoint is assumed to
-        withstand (two standard deviations and 2 attempts). ``base_limit`` uses only
-        OVERLOAD_FACTOR_SHARE_USED of the overload factor, since the nodes' peak rates add up to more than the
-        fleet ever served at once. The lifetime is at least MIN_BUDGET_LIFETIME overload windows, even if the
-        sum is then larger.
+        All nodes together earn ``expected`` attempts at an endpoint per overload window, and may send their
+        unused attempts at once in addition. The lifetime limits the total in a window to
+        max(base_limit, expected) + sqrt(base_limit) + 1. An endpoint is assumed to withstand a random
+        variation of two standard deviations and 2 attempts; the limit uses half of that. ``base_limit`` uses
+        only OVERLOAD_FACTOR_SHARE_USED of the overload factor, since the nodes' peak rates add up to more
+        than the fleet ever served at once. The lifetime is at least MIN_BUDGET_LIFETIME overload windows,
+        even if the total is then larger.
         """
         settings, working_set = self._settings, self._working_set
         window = settings.slow_start_overload_window
--- a/load_balancer/policy/staleness.py
+++ b/load_balancer/policy/staleness.py
@@ -47,7 +47,8 @@
 
         Args:
             kind: Kind of the update.
-            last_contact_at: Time in ms of the last contact with discovery, once lost, or None for ``now``.
+            last_contact_at: Time in ms of the last contact with discovery, or None for ``now``. Used only if
+                the update is a cached snapshot or reports that discovery is unavailable.
             now: Time on the policy's clock, ms.
 
         Returns:
@@ -77,6 +78,6 @@
         """
         if self._stale_since == math.inf or now > self._stale_since + USE_ALL_AFTER:
             return True
-        answered = tracked.last_answered_sent_at
-        served_at = answered if answered > tracked.last_rejected_sent_at else 0.0
+        answered = tracked.latest_answered_send_time
+        served_at = answered if answered > tracked.latest_rejected_send_time else 0.0
         return now + self._connect_timeout < max(self._stale_since, served_at) + self._stale_limit
--- a/load_balancer/policy/subsetting.py
+++ b/load_balancer/policy/subsetting.py
@@ -23,8 +23,8 @@
 # ranges, and more nodes share each of them.
 MIN_NODES_PER_ARC = 12
 MIN_ARC_ENDPOINTS = 48  # endpoints per arc, on average over all arcs
-MAX_ARC_ENDPOINTS = 2000  # endpoints per arc, on average over all arcs, before their count is rounded down
-ARC_COUNTS_PER_DOUBLING = 4  # permitted arc counts: few, so that the count rarely changes with the fleet size
+MAX_ARC_ENDPOINTS = 2000  # the same before the arc count is rounded down, so the actual average can be higher
+ARC_COUNTS_PER_DOUBLING = 4  # permitted arc counts per doubling; few, so that the count rarely changes
 HASH_BITS = 64
 
 
@@ -76,8 +76,8 @@
     """Choose the ready endpoints in an arc of the hash space; arguments as for ``choose_subset``."""
     node, nodes = settings.node_index, settings.node_count
     sparse_arcs = min(nodes // MIN_NODES_PER_ARC, table.ready_count // MIN_ARC_ENDPOINTS) if sparse else 1
-    min_arcs = -(-table.ready_count // MAX_ARC_ENDPOINTS)
-    arcs = round_down_arc_count(max(1, sparse_arcs, min_arcs))
+    arcs_for_max_size = -(-table.ready_count // MAX_ARC_ENDPOINTS)
+    arcs = round_down_arc_count(max(1, sparse_arcs, arcs_for_max_size))
     arc = node * arcs // nodes
     own_ids = _ready_in_arc(table, arc, arcs)
     # If no endpoint of the subset is eligible, those of the next arc are tried instead of the whole fleet.
--- a/load_balancer/policy/tracked_endpoint.py
+++ b/load_balancer/policy/tracked_endpoint.py
@@ -53,12 +53,12 @@
     """Health by request class; written by outliers."""
     attempts: dict[AttemptKey, AttemptInFlight] = field(default_factory=dict)
     """Attempts without a result; written by endpoint_registry."""
-    last_answered_sent_at: float = 0.0
+    latest_answered_send_time: float = 0.0
     """Latest send time in ms of the attempts that got a success or an error as their response.
 
     Written by endpoint_registry.
     """
-    last_rejected_sent_at: float = 0.0
+    latest_rejected_send_time: float = 0.0
     """Latest send time in ms of the attempts that were rejected; written by endpoint_registry."""
     unanswered_ratio: float = 0.0
     """Moving share of attempts without a response, over all classes, 0 to 1; written by outliers."""
@@ -84,16 +84,16 @@
         """
         if not self.attempts:
             return 0  # fast path: runs for every request
-        answered = self.last_answered_sent_at
+        answered = self.latest_answered_send_time
         return sum(a.sent_at < answered and a.overdue_at < now for a in self.attempts.values())
 
     def answered_later_than(self, attempt: AttemptInFlight) -> bool:
         """Return whether an attempt that was sent after this one has been answered."""
-        return attempt.sent_at < self.last_answered_sent_at
+        return attempt.sent_at < self.latest_answered_send_time
 
     def is_stalled(self, now: float) -> bool:
         """Return whether the endpoint hangs or pauses: an attempt is overdue, with no later one answered."""
         if not self.attempts:
             return False  # fast path: runs for every request
-        answered = self.last_answered_sent_at
+        answered = self.latest_answered_send_time
         return any(a.overdue_at < now and a.sent_at >= answered for a in self.attempts.values())
--- a/load_balancer/proxy/backoff.py
+++ b/load_balancer/proxy/backoff.py
@@ -6,7 +6,7 @@
 
 
 class Backoff:
-    """Delays between retries: each is twice the previous one, up to a maximum, times a random factor.
+    """Delays between retries: a base delay that doubles up to a maximum, each time with a random factor.
 
     Args:
         initial: First delay in s, before jitter.
--- a/load_balancer/proxy/config.py
+++ b/load_balancer/proxy/config.py
@@ -19,8 +19,8 @@
 from load_balancer.proxy.errors import ConfigError, InvalidAddressError
 from load_balancer.settings_decoder import decode_settings
 
-# By the protocol, a node is considered notified of a change this long after discovery has the change and is
-# reachable, whether or not the node has received it.
+# The protocol considers a node notified of a change NOTIFIED_AFTER_S after discovery has the change and is
+# reachable, whether or not the node has received the change.
 NOTIFIED_AFTER_S = 6.0
 LOOP_DELAY_ALLOWANCE_MS = 100.0  # margin for callbacks that the event loop runs late
 MAX_BYTES_PER_ENDPOINT = 200  # memory per endpoint; half of it is in use only while a snapshot is decoded
--- a/load_balancer/proxy/discovery_client.py
+++ b/load_balancer/proxy/discovery_client.py
@@ -26,7 +26,7 @@
 CONNECT_TIMEOUT_S = 1.5
 FIRST_BYTE_TIMEOUT_S = 2.5  # it exceeds QUEUE_TIMEOUT_S, since a repeated call goes to the end of the queue
 SNAPSHOT_READ_TIMEOUT_S = 1.5  # limit for each read after the first
-SNAPSHOT_TIMEOUT_S = 3.0  # limit for the whole snapshot, plus its transfer time at MIN_TRANSFER_RATE
+SNAPSHOT_TIMEOUT_S = 3.0  # limit for the whole snapshot; extended by its bytes / MIN_TRANSFER_RATE
 NOTIFIED_AFTER_RELOAD_S = 4.0  # replaces NOTIFIED_AFTER_S after a change of discovery's address
 
 BACKOFF_INITIAL_S = 0.05
@@ -175,15 +175,15 @@
             opened_at = asyncio.get_running_loop().time()
             decoder = self._new_decoder()
             while not response.is_complete:
-                # Each tail completes a line; the head begins the next one.
-                *tails, head = (await response.read()).split(b"\n")
-                for tail in tails:
-                    decoder.feed(tail)
+                # Each part but the last completes a line; the last begins the next line.
+                *line_ends, next_line_start = (await response.read()).split(b"\n")
+                for line_end in line_ends:
+                    decoder.feed(line_end)
                     await self._finish_line(decoder)
                     self._reset_backoff_if_stable(opened_at)
                     response.start_message()
                     decoder = self._new_decoder()
-                decoder.feed(head)
+                decoder.feed(next_line_start)
                 await asyncio.sleep(0)  # lets other tasks run
             if decoder.has_started:
                 await self._finish_line(decoder)
--- a/load_balancer/proxy/discovery_response.py
+++ b/load_balancer/proxy/discovery_response.py
@@ -13,7 +13,7 @@
 from load_balancer.proxy.errors import ConnectionClosedError, ResponseStatusError
 
 READ_SIZE = 8192  # bytes; decoding them takes some ms at most, during which no other task runs
-MIN_TRANSFER_RATE = 1 << 20  # bytes/s; a message that arrives at this rate may exceed its time limit
+MIN_TRANSFER_RATE = 1 << 20  # bytes/s; each byte extends its message's time limit by 1 / this rate
 _STATUS_OK = 200
 _STATUS_UNKNOWN = 0  # the parser has not read the status line yet
 
@@ -29,7 +29,7 @@
     read: float
     """Limit for each read after the first."""
     message: float
-    """Limit for a message (a snapshot or a line of a watch), plus its transfer time at MIN_TRANSFER_RATE."""
+    """Limit for a message (a snapshot or a line of a watch); extended by its bytes / MIN_TRANSFER_RATE."""
 
 
 class DiscoveryResponse:
--- a/load_balancer/proxy/eviction.py
+++ b/load_balancer/proxy/eviction.py
@@ -55,9 +55,10 @@
         )
 
     def _longest_in_state(self, state: ConnectionState, min_age: float) -> ClientConnection | None:
-        """Return the connection that entered a state first and can be evicted, or None.
+        """Return the first evictable connection, in the order of entering the state, or None.
 
-        Return None also if a connection before it has been in the state for less than ``min_age`` s.
+        The search ends with None at the first connection that has been in the state for less than
+        ``min_age`` s.
         """
         now = self._table.time()
         for connection, since in self._table.in_state(state).items():
@@ -69,7 +70,10 @@
 
 
 def _is_evictable(connection: ClientConnection) -> bool:
-    """Whether an abort would lose neither unsent parts of a response nor an unread request."""
+    """Whether the connection can be aborted without losing unsent response data or an unread request.
+
+    A connection that is already closing is not evictable.
+    """
     transport = connection.transport
     if transport.is_closing() or transport.get_write_buffer_size():
         return False
