--- a/load_balancer/policy/endpoint_table.py
+++ b/load_balancer/policy/endpoint_table.py
@@ -16,13 +16,13 @@
 from load_balancer.policy.settings import Settings
 
 ROW_FORMAT = "<QqqqBdd"  # id, zone, machine type, cell, state, weight, start time: 49 bytes
-START_BIN_WIDTH = 100.0  # ms; endpoints that start within a bin are counted with its mean start time
+START_BIN_WIDTH = 100.0  # ms; endpoints that start within a bin are counted with the bin's mean start time
 WEIGHT_DIGITS = 3  # significant digits to which weights are rounded to find the largest
 
 
 @dataclass(slots=True)
 class _StartBin:
-    """Number and sum of the start times of the endpoints that started within the same START_BIN_WIDTH ms."""
+    """Number of endpoints that started within the same START_BIN_WIDTH ms, and sum of their start times."""
 
     count: int = 0
     sum_of_starts: float = 0.0  # ms
@@ -128,7 +128,7 @@
         """Return the largest effective weight of the ready endpoints, or 0 if there are none.
 
         Args:
-            latency_factors: Latency factors by machine type; 1 for those without an entry.
+            latency_factors: Latency factors by machine type; a machine type without an entry has factor 1.
         """
         weights = self._largest_weight.items()
         return max(
@@ -143,7 +143,7 @@
         """Return the mean effective weight of the ready endpoints, or 0 if there are none.
 
         Args:
-            latency_factors: Latency factors by machine type; 1 for those without an entry.
+            latency_factors: Latency factors by machine type; a machine type without an entry has factor 1.
         """
         sums = self._weight_sums.items()
         total = sum(weight / latency_factors.get(machine_type, 1.0) for machine_type, weight in sums)
--- a/load_balancer/policy/engine.py
+++ b/load_balancer/policy/engine.py
@@ -60,7 +60,8 @@
 
 HALVING_INTERVAL = 5000.0  # minimum ms between halvings of the request, key and attempt counts
 MAX_UPDATE_ELAPSED = 1000.0  # maximum ms of elapsed time that one update accounts for
-WATCH_TIMER_TOKEN = 1 << 60  # token of the timer that restarts the endpoint watch; others are request ids
+# Token of the timer that restarts the endpoint watch; other tokens are request ids.
+WATCH_TIMER_TOKEN = 1 << 60
 
 
 class UnservedReason(StrEnum):
@@ -87,7 +88,7 @@
         self.settings = settings
         self._now = 0.0
         self._commands: list[Command] = []
-        self._requests: dict[int, PendingRequest] = {}  # those without a final response, by id
+        self._requests: dict[int, PendingRequest] = {}  # requests without a final response, by id
         self.unserved_counts: Counter[str] = Counter()
         """Number of requests ended for each ``UnservedReason``; whoever reports the counts clears them."""
         self._create_components(random.Random(seed))
@@ -194,7 +195,7 @@
     def _send_attempt(
         self, request: PendingRequest, tracked: TrackedEndpoint, typical_latency: float
     ) -> None:
-        """Send an attempt to an endpoint; ``typical_latency`` is that of the request class in ms."""
+        """Send an attempt to an endpoint, given the typical latency of the request class in ms."""
         # The registry comes first: it reads the attempt number that the retry policy then increments. The
         # timeout comes last: it depends on the number of attempts left after this one.
         self._registry.attempt_sent(request, tracked, self._now, self._now + OVERDUE_FACTOR * typical_latency)
--- a/load_balancer/proxy/connection_table.py
+++ b/load_balancer/proxy/connection_table.py
@@ -9,14 +9,14 @@
 if TYPE_CHECKING:
     from load_balancer.proxy.client_connection import ClientConnection
 
-_MANY_IDLE_DIVISOR = 3  # has_many_idle is true from limit // this idle connections on
+_MANY_IDLE_DIVISOR = 3  # has_many_idle is true from limit // _MANY_IDLE_DIVISOR idle connections on
 
 
 class ConnectionState(IntEnum):
     """What a client connection waits for; set by ``ConnectionTable.set_state`` only."""
 
     DISCONNECTED = 0
-    """Not connected yet, or no longer."""
+    """Not connected yet, or no longer connected."""
     CONNECTED = 1
     """Waits for the first byte of its first request."""
     RECEIVING = 2
@@ -51,7 +51,7 @@
         self.open_request_ids: set[bytes] = set()
         """Request-Id values of the requests that were received and have no response yet."""
         self.time = time
-        self._connections: set[ClientConnection] = set()  # including those that are closing
+        self._connections: set[ClientConnection] = set()  # including closing connections
         self._start_times: dict[ConnectionState, dict[ClientConnection, float]] = {
             state: {} for state in _WAITING_FOR_CLIENT
         }
--- a/load_balancer/proxy/discovery_client.py
+++ b/load_balancer/proxy/discovery_client.py
@@ -139,7 +139,7 @@
 
     def _record_failure(self, reason: str) -> None:
         # The first of a series of failures is logged, and so is each rejection whose reason differs from the
-        # last one.
+        # previous reason.
         if not self.is_failing or (self._rejected_updates and reason != self._last_failure_reason):
             host, port = self.address
             logger.warning("discovery at %s:%d: %s; keeping the current endpoint list", host, port, reason)
@@ -212,7 +212,7 @@
     def _check_version(self, update: DiscoveryUpdate) -> None:
         """Reject an update whose version is below the newest one.
 
-        Of MAX_STALE_SNAPSHOTS such snapshots in a row the last is accepted: discovery has restarted its
+        The last of MAX_STALE_SNAPSHOTS such snapshots in a row is accepted: discovery has restarted its
         version numbers.
 
         Raises:
--- a/load_balancer/proxy/endpoint_updater.py
+++ b/load_balancer/proxy/endpoint_updater.py
@@ -31,7 +31,7 @@
 
     Args:
         directory: The current endpoint list.
-        pool: Connections to the endpoints; the pool closes the idle ones of an endpoint that changes.
+        pool: Connections to the endpoints; the pool closes idle connections to an endpoint that changes.
         submit: Passes an event to the policy.
     """
 
@@ -73,7 +73,7 @@
         return update.version
 
     def apply_slices(self, update: DiscoveryUpdate, source: str = "") -> Iterator[None]:
-        """Apply an update slice by slice, yielding after each one except the last.
+        """Apply an update slice by slice, yielding after each slice except the last.
 
         Args:
             update: Update to apply.
@@ -95,7 +95,7 @@
         """Apply an update to the directory and the pool, and yield the changed endpoints.
 
         Yield None after every ``ROWS_PER_SLICE`` compared rows. Endpoints that may no longer be used come
-        first, so that none is sent a request while the rest of the update is applied.
+        first, so that no such endpoint is sent a request while the rest of the update is applied.
         """
         row_counter = itertools.count(1)
         if update.is_snapshot:
--- a/load_balancer/proxy/graceful_shutdown.py
+++ b/load_balancer/proxy/graceful_shutdown.py
@@ -31,7 +31,7 @@
 
     Args:
         listener: Listener that holds the client connections.
-        requests: Requests in flight. The deadlines of those that arrive from now on are limited to
+        requests: Requests in flight. The deadlines of requests that arrive from now on are limited to
             ``SIGKILL_MARGIN_MS`` before SIGKILL.
         longest_deadline: Longest deadline of any request class in ms.
     """
--- a/load_balancer/proxy/idle_timeout.py
+++ b/load_balancer/proxy/idle_timeout.py
@@ -24,7 +24,7 @@
     __slots__ = ("_consecutive_resets", "current_ms", "max_ms")
 
     def __init__(self, configured_ms: float) -> None:
-        """Start ``CLOSE_RACE_MARGIN_MS`` below the configured idle timeout, but at half of it at least."""
+        """Start ``CLOSE_RACE_MARGIN_MS`` below the configured timeout, but not below half of that timeout."""
         self.max_ms = self.current_ms = max(configured_ms - CLOSE_RACE_MARGIN_MS, configured_ms / 2)
         self._consecutive_resets = 0
 
--- a/load_balancer/proxy/listener.py
+++ b/load_balancer/proxy/listener.py
@@ -117,8 +117,8 @@
             self.loop.add_reader(self.socket, self._accept_batch)
 
     def _accept_batch(self) -> None:
-        """Accept connections from the backlog up to the limit; called when there is at least one."""
-        # An evicted connection is lost in the next iteration of the event loop, which calls this again.
+        """Accept connections from the backlog up to the limit; called when the backlog is not empty."""
+        # An evicted connection is lost in the event loop's next iteration, which calls this method again.
         if len(self.connections) >= self.connections.limit and not self.evictor.evict():
             self.pause_accepting()
             self.loop.call_later(ACCEPT_RETRY_DELAY_S, self.resume_accepting)
--- a/load_balancer/proxy/node.py
+++ b/load_balancer/proxy/node.py
@@ -125,7 +125,7 @@
         reload_configuration(environ, self.discovery)
 
     async def shut_down(self) -> None:
-        """Respond to the requests in flight and those that still arrive, then close the node."""
+        """Respond to requests in flight and to requests that still arrive, then close the node."""
         self.shutting_down = True
         longest_deadline = max(request_class.deadline for request_class in self.config.settings.classes)
         await drain_client_connections(self.listener, self.requests, longest_deadline)
@@ -218,7 +218,8 @@
     def _cancel_request(self, request_id: int, pending: TrackedRequest) -> None:
         self.policy_runner.submit(RequestCancelled(request_id))
         # The policy cancels attempts where the settings allow it. An attempt that has no connection yet must
-        # not be sent in any case. Only the newest can lack one; -1 (no attempt so far) matches none.
+        # not be sent in any case. Only the newest attempt can lack a connection; the number -1 (no attempt so
+        # far) matches no attempt.
         self.pool.cancel_unsent(request_id, pending.attempts - 1)
 
     def _drop_client(self, request_id: int, client: ClientConnection) -> None:
@@ -263,8 +264,8 @@
         ended = AttemptEnded(
             request_id, attempt.upstream.endpoint_id, request_ended, result, attempt.number, elapsed
         )
-        # The event is queued before the response is written, which may start the client's next request.
-        # Otherwise the policy would handle that request while it still counts this attempt as in flight.
+        # The event is queued before the response is written. Writing the response may start the client's next
+        # request, which the policy would otherwise handle while it still counts this attempt as in flight.
         self.policy_runner.enqueue(ended)
         if pending is not None and response is not None:
             requests.forward_response(pending, response)
--- a/load_balancer/proxy/request_parser.py
+++ b/load_balancer/proxy/request_parser.py
@@ -69,8 +69,8 @@
     def feed(self, data: bytes) -> ErrorResponse | None:
         """Parse received bytes.
 
-        Return an error response if they are not a valid request, else None. After an error, nothing more can
-        be parsed on the connection.
+        Return an error response if the bytes are not a valid request, else None. After an error, nothing more
+        can be parsed on the connection.
         """
         self._size += len(data)
         try:
@@ -139,7 +139,7 @@
 
 
 def _error_response(error: httptools.HttpParserError) -> ErrorResponse:
-    """Return the response to a parser error: that of an ``InvalidRequestError``, or 400.
+    """Return the response to a parser error: the response in an ``InvalidRequestError``, or 400.
 
     httptools reports an exception raised in a callback as the context of its own error.
     """
