--- a/load_balancer/policy/concurrency.py
+++ b/load_balancer/policy/concurrency.py
@@ -130,7 +130,7 @@
 
     def _update_sustained_concurrency(self, elapsed: float, in_flight: float, nominal: float) -> None:
         # Traffic that is served in time does not count as overload, even if this node has more than its
-        # share of it.
+        # share of the traffic.
         in_time = self._late_ratio < MAX_LATE_RATIO
         self._sustained_concurrency *= 1 - elapsed / (self._peak_window if in_time else self._goodput_window)
         if in_time:
--- a/load_balancer/policy/result_recorder.py
+++ b/load_balancer/policy/result_recorder.py
@@ -1,6 +1,6 @@
 """Result recording: passes the result of each attempt to the components that learn from it.
 
-The order of the calls matters, as components use values that others have just updated.
+The order of the calls matters, as components use values that other components have just updated.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
         request_class = self._classes[request.arrival.class_index]
         concurrency = self._overload.concurrency
         late = now - request.arrived_at > request_class.latency_objective
-        if not lost:  # a lost attempt tells nothing about the latency of others
+        if not lost:  # a lost attempt tells nothing about the latency of other attempts
             concurrency.record_timeliness(late or event.result is AttemptResult.TIMEOUT)
         if event.result is AttemptResult.SUCCESS and (request_class.late_weight or not late):
             concurrency.record_useful_response(event.elapsed)
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: limits the attempts of all nodes together at an endpoint that has just started.
 
-Each node has a budget for such an endpoint, similar to a token bucket. It earns attempts at the node's share
-of the response rate of a warm endpoint (one with its full capacity), multiplied by the share of its capacity
-that the endpoint has at the time. An unused attempt expires: otherwise many nodes could save attempts up and
-send them all at once.
+Each node has a budget for such an endpoint, similar to a token bucket. The budget earns attempts at the
+node's share of the response rate of a warm endpoint (an endpoint at full capacity), multiplied by the
+starting endpoint's current share of its full capacity. An unused attempt expires: otherwise
+many nodes could save attempts up and send them all at once.
 """
 
 from __future__ import annotations
@@ -54,8 +54,8 @@
     def may_send(self, tracked: TrackedEndpoint, now: float) -> bool:
         """Return whether an endpoint is warm, or its budget has an earned attempt left at ``now`` ms.
 
-        What was earned up to ``now`` is added to the budget. If the attempt is used, ``attempt_sent`` must be
-        called with the same ``now``.
+        Attempts earned up to ``now`` are added to the budget. If the attempt is used, ``attempt_sent`` must
+        be called with the same ``now``.
         """
         capacity = self.capacity_share(tracked.endpoint, now)
         return capacity >= 1.0 or self._accrue_and_check(tracked.slow_start, capacity, now)
--- a/load_balancer/policy/slow_start_budget.py
+++ b/load_balancer/policy/slow_start_budget.py
@@ -18,7 +18,7 @@
     updated_at: float
     """Time in ms up to which earned attempts have been added."""
     earned_at_last_send: int = 0
-    """Whole attempts that had been earned when the latest one was sent; only later ones can still be used."""
+    """Whole attempts earned when the latest attempt was sent; only attempts earned later can be used."""
 
 
 def initial_budget(endpoint_id: int, node_index: int, now: float) -> SlowStartBudget:
--- a/load_balancer/policy/staleness.py
+++ b/load_balancer/policy/staleness.py
@@ -15,8 +15,8 @@
 
 # ms without contact with discovery after which all endpoints are used, as discovery may stay down for long.
 USE_ALL_AFTER = 30000.0
-# The poll interval limit is divided by these for the first backoff at the start, the first after a successful
-# update, and the longest one.
+# The poll interval limit divided by these is the first backoff at the start, the first backoff after a
+# successful update, and the longest backoff.
 INITIAL_BACKOFF_DIVISOR = 40
 RESET_BACKOFF_DIVISOR = 20
 MAX_BACKOFF_DIVISOR = 4
--- a/load_balancer/proxy/cached_endpoints.py
+++ b/load_balancer/proxy/cached_endpoints.py
@@ -1,7 +1,7 @@
 """Reader of the cached endpoint list, which the configuration file holds in its field ``known``.
 
-It is the list that this node had before its last restart. It may have 95,000 entries, so it is parsed
-separately from the rest of the file and passed to the builder event by event.
+The cached list is the one that this node had before its last restart. It may have 95,000 entries, so it is
+parsed separately from the rest of the file and passed to the builder event by event.
 """
 
 from __future__ import annotations
--- a/load_balancer/proxy/client_connection.py
+++ b/load_balancer/proxy/client_connection.py
@@ -159,7 +159,7 @@
         self.queue.append(response)
 
     def on_request_started(self) -> None:
-        """Start the timeout of a request; that of the first request started with the connection."""
+        """Start the timeout of a request; the timeout of the first started with the connection."""
         self._request_incomplete = True
         if self._has_received_request:
             self._request_started_at = self._table.time()
--- a/load_balancer/proxy/endpoint_rows.py
+++ b/load_balancer/proxy/endpoint_rows.py
@@ -56,7 +56,7 @@
             yield key
 
     def changes(self, current: EndpointRowTable, ready: bool) -> Iterator[tuple[int, EndpointRow] | None]:
-        """Compare the rows of this table, those of an update, with the current list.
+        """Compare the rows of this table, which come from an update, with the current list.
 
         Yield the id and row of each endpoint that is new or differs, and None for every other row. Only rows
         that are yielded become an ``EndpointRow``, because most rows of a snapshot are unchanged.
--- a/load_balancer/proxy/request_headers.py
+++ b/load_balancer/proxy/request_headers.py
@@ -9,7 +9,7 @@
 _COST_HINT_PATTERN = re.compile(rb"\d{1,9}")  # whole number of us
 _US_PER_MS = 1000
 
-# Hop-by-hop headers, and those that the node writes itself.
+# Hop-by-hop headers, and headers that the node writes itself.
 _NOT_FORWARDED = frozenset(
     {
         b"connection",
--- a/load_balancer/settings_decoder.py
+++ b/load_balancer/settings_decoder.py
@@ -1,4 +1,4 @@
-"""Decoder of the JSON settings object, which maps the names of the protocol to those of ``Settings``.
+"""Decoder of the JSON settings object, which maps the protocol's names to the fields of ``Settings``.
 
 A node reads the object from its configuration file; the simulator sends it when it starts an instance. The
 values that the policy does not use are read by ``proxy.config``.
