--- a/load_balancer/policy/endpoint_registry.py
+++ b/load_balancer/policy/endpoint_registry.py
@@ -76,7 +76,7 @@
     def attempt_sent(
         self, request: PendingRequest, tracked: TrackedEndpoint, now: float, overdue_at: float
     ) -> None:
-        """Add an attempt to those in flight at an endpoint.
+        """Add an attempt to the attempts in flight at an endpoint.
 
         Must be called before ``request.attempts_sent`` is increased, since that is the attempt's number.
 
@@ -91,7 +91,7 @@
         self._busy[tracked.endpoint.id] = tracked
 
     def attempt_ended(self, tracked: TrackedEndpoint, event: AttemptEnded) -> AttemptInFlight | None:
-        """Remove an attempt that has ended from those in flight.
+        """Remove an attempt that has ended from the attempts in flight.
 
         Returns:
             The attempt, or None if its end was reported before.
--- a/load_balancer/policy/overload.py
+++ b/load_balancer/policy/overload.py
@@ -47,7 +47,7 @@
         self._sent_since_update += 1
 
     def attempt_ended(self) -> None:
-        """Remove an attempt from those in flight."""
+        """Remove an attempt from the count of attempts in flight."""
         self.in_flight -= 1
 
     def record_result(self, result: AttemptResult, elapsed: float, typical_latency: float) -> float:
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -64,7 +64,7 @@
         """Take an attempt from the budget of an endpoint, if it is in slow start."""
         if self.capacity_share(tracked.endpoint, now) < 1.0:
             budget = tracked.slow_start
-            # This also drops the fraction of the next attempt that has been earned.
+            # Rounding down also drops the fraction of the next attempt that has been earned.
             budget.earned_attempts = budget.earned_at_last_send = int(budget.earned_attempts)
 
     def _accrue_and_check(self, budget: SlowStartBudget, capacity: float, now: float) -> bool:
--- a/load_balancer/policy/subsetting.py
+++ b/load_balancer/policy/subsetting.py
@@ -80,7 +80,7 @@
     arcs = round_down_arc_count(max(1, sparse_arcs, arcs_for_max_size))
     arc = node * arcs // nodes
     own_ids = _ready_in_arc(table, arc, arcs)
-    # If no endpoint of the subset is eligible, those of the next arc are tried instead of the whole fleet.
+    # If no endpoint of the subset is eligible, the next arc's endpoints are tried instead of the whole fleet.
     next_ids = _ready_in_arc(table, (arc + 1) % arcs, arcs)
     return Subset(own_ids + next_ids, 0, max(1, len(own_ids)))
 
--- a/load_balancer/proxy/discovery_client.py
+++ b/load_balancer/proxy/discovery_client.py
@@ -21,7 +21,7 @@
 
 # The node must learn of a change within NOTIFIED_AFTER_S even if a timeout ends the current call. So each
 # timeout below + the longest backoff delay + QUEUE_TIMEOUT_S for the next call must not exceed that limit.
-QUEUE_TIMEOUT_S = 2.0  # discovery handles one call at a time, and fails those that wait longer than this
+QUEUE_TIMEOUT_S = 2.0  # discovery handles one call at a time, and fails calls that wait longer
 WATCH_IDLE_TIMEOUT_S = 3.2  # time without a complete line; discovery sends at least one every 2 s
 CONNECT_TIMEOUT_S = 1.5
 FIRST_BYTE_TIMEOUT_S = 2.5  # above QUEUE_TIMEOUT_S, since a repeated call goes to the end of the queue
--- a/load_balancer/proxy/listener.py
+++ b/load_balancer/proxy/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections up to a limit, and closes those whose client is inactive for too long."""
+"""Accepts client connections up to a limit, and closes connections of inactive clients."""
 
 from __future__ import annotations
 
